--- a/crates/program/src/budget.rs
+++ b/crates/program/src/budget.rs
@@ -1,71 +1,71 @@
-//! Budgets of one program: reserved before a call, settled after it.
+//! Program budgets: reserved before each call and settled after it.
 
 use std::time::Duration;
 
 use sumacdrift_mutants::{Rule, is_broken};
 use sumacdrift_types::{Problem, ResultCode, Timestamp, TokenCount};
 
-/// Upper limits over the whole life of a program.
+/// Limits over the lifetime of a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetLimits {
-    /// Calls that may be recorded.
+    /// Turns that may be committed.
     pub turns: u32,
-    /// Tokens of messages that callers add, by the estimate of `sumacdrift_types::estimate_tokens`.
+    /// Tokens of the messages that callers add, as estimated by `sumacdrift_types::estimate_tokens`.
     ///
-    /// The estimate, not an engine's count, is the unit: it is known before the call, so the limit is exact.
+    /// The estimate is known before a call, unlike an engine's count, so the limit can be enforced exactly.
     pub input_tokens: TokenCount,
     /// Tokens that engines may generate.
     pub output_tokens: TokenCount,
-    /// Seconds between the first call's acceptance and the last one's.
+    /// Seconds between the admission of the first call and of the last one.
     pub seconds: u64,
     /// Sub-agents that may be started.
     pub sub_agents: u32,
 }
 
-/// What a program has used, including the parts given to its sub-agents.
+/// Budget used by a program, including the parts granted to its sub-agents.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct BudgetSpent {
-    /// Calls recorded.
+    /// Turns committed.
     pub turns: u32,
-    /// Tokens of messages added.
+    /// Estimated tokens of the messages added by callers.
     pub input_tokens: TokenCount,
-    /// Tokens generated.
     pub output_tokens: TokenCount,
-    /// Sub-agents started.
     pub sub_agents: u32,
 }
 
-/// What one call under way may use at the most.
+/// Budget held by one call in flight, or part of a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Reservation {
-    /// Tokens of new messages.
+    /// Estimated tokens of the new messages.
     pub input_tokens: TokenCount,
-    /// Cap on generated tokens.
+    /// Limit on generated tokens.
     pub output_tokens: TokenCount,
 }
 
-/// A program's limits, what it spent and what its call under way holds.
+/// A program's limits, use and reservation.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budget {
-    /// Limits fixed when the program began.
+    /// Fixed when the program is created.
     pub limits: BudgetLimits,
-    /// Used so far.
     pub spent: BudgetSpent,
-    /// Held by the call under way.
+    /// Held by the call in flight.
     pub reserved: Reservation,
-    /// When the first call was accepted.
+    /// When the first call was admitted.
     pub started: Timestamp,
 }
 
 impl Budget {
-    /// A budget of which nothing is used.
+    /// Creates an unused budget.
     pub fn new(limits: BudgetLimits, started: Timestamp) -> Self {
         Self { limits, spent: BudgetSpent::default(), reserved: Reservation::default(), started }
     }
 
-    /// Works out what a call may reserve, or why it may not run.
+    /// Computes the reservation of a call without making it.
     ///
-    /// The cap on generated tokens shrinks to what is left; input can't shrink and is refused instead.
+    /// `wanted_output` is reduced to the remaining output budget. Fails with `BudgetExhausted` if the time, turn,
+    /// input or output limit is reached.
     pub fn plan(
         &self,
         input_tokens: TokenCount,
@@ -74,56 +74,56 @@
     ) -> Result<Reservation, Problem> {
         self.check_time(now)?;
         if self.spent.turns >= self.limits.turns {
-            return Err(exhausted("turns", u64::from(self.limits.turns)));
+            return Err(budget_exhausted("turns", u64::from(self.limits.turns)));
         }
-        if input_tokens > self.input_left() {
-            return Err(exhausted("input tokens", self.limits.input_tokens));
+        if input_tokens > self.remaining_input() {
+            return Err(budget_exhausted("input tokens", self.limits.input_tokens));
         }
         if is_broken(Rule::ReserveBudget) {
             return Ok(Reservation { input_tokens, output_tokens: wanted_output });
         }
-        let output_tokens = wanted_output.min(self.output_left());
+        let output_tokens = wanted_output.min(self.remaining_output());
         if output_tokens == 0 {
-            return Err(exhausted("output tokens", self.limits.output_tokens));
+            return Err(budget_exhausted("output tokens", self.limits.output_tokens));
         }
         Ok(Reservation { input_tokens, output_tokens })
     }
 
-    /// The part of what is left that a new sub-agent receives.
+    /// Computes the limits of a new sub-agent: a percentage of the remaining token budget and all remaining time.
     pub fn plan_child(&self, share_percent: u64, now: Timestamp) -> Result<BudgetLimits, Problem> {
         self.check_time(now)?;
         if self.spent.sub_agents >= self.limits.sub_agents {
-            return Err(exhausted("sub-agents", u64::from(self.limits.sub_agents)));
+            return Err(budget_exhausted("sub-agents", u64::from(self.limits.sub_agents)));
         }
-        let share = |left: u64| left * share_percent / 100;
+        let share_of = |remaining: u64| remaining * share_percent / 100;
         let elapsed = now.since(self.started).as_secs();
         let limits = BudgetLimits {
             turns: self.limits.turns,
-            input_tokens: share(self.input_left()),
-            output_tokens: share(self.output_left()),
+            input_tokens: share_of(self.remaining_input()),
+            output_tokens: share_of(self.remaining_output()),
             seconds: self.limits.seconds.saturating_sub(elapsed),
             sub_agents: self.limits.sub_agents - self.spent.sub_agents - 1,
         };
         if limits.input_tokens == 0 || limits.output_tokens == 0 {
-            return Err(exhausted("tokens for a sub-agent", self.limits.output_tokens));
+            return Err(budget_exhausted("tokens for a sub-agent", self.limits.output_tokens));
         }
         Ok(limits)
     }
 
-    /// Sets a part aside for a sub-agent.
-    pub fn carve(&mut self, child: &BudgetLimits) {
+    /// Books the budget granted to a sub-agent as spent.
+    pub fn reserve_for_child(&mut self, child: &BudgetLimits) {
         self.spent.input_tokens += child.input_tokens;
         self.spent.output_tokens += child.output_tokens;
         self.spent.sub_agents += 1;
     }
 
-    /// Takes back what an ended sub-agent left unused.
-    pub fn take_back(&mut self, unused: Reservation) {
+    /// Returns the unused budget of an ended sub-agent.
+    pub fn return_unused(&mut self, unused: Reservation) {
         self.spent.input_tokens = self.spent.input_tokens.saturating_sub(unused.input_tokens);
         self.spent.output_tokens = self.spent.output_tokens.saturating_sub(unused.output_tokens);
     }
 
-    /// Books what a call used and frees its reservation.
+    /// Books the budget used by a call and releases its reservation.
     pub fn settle(&mut self, used: Reservation, counts_as_turn: bool) {
         self.spent.input_tokens += used.input_tokens;
         self.spent.output_tokens += used.output_tokens;
@@ -131,30 +131,30 @@
         self.reserved = Reservation::default();
     }
 
-    /// What is neither spent nor reserved.
+    /// Tokens neither spent nor reserved.
     pub fn unused(&self) -> Reservation {
-        Reservation { input_tokens: self.input_left(), output_tokens: self.output_left() }
+        Reservation { input_tokens: self.remaining_input(), output_tokens: self.remaining_output() }
     }
 
-    fn input_left(&self) -> TokenCount {
+    fn remaining_input(&self) -> TokenCount {
         let used = self.spent.input_tokens + self.reserved.input_tokens;
         self.limits.input_tokens.saturating_sub(used)
     }
 
-    fn output_left(&self) -> TokenCount {
+    fn remaining_output(&self) -> TokenCount {
         let used = self.spent.output_tokens + self.reserved.output_tokens;
         self.limits.output_tokens.saturating_sub(used)
     }
 
     fn check_time(&self, now: Timestamp) -> Result<(), Problem> {
         if now.since(self.started) > Duration::from_secs(self.limits.seconds) {
-            return Err(exhausted("seconds", self.limits.seconds));
+            return Err(budget_exhausted("seconds", self.limits.seconds));
         }
         Ok(())
     }
 }
 
-fn exhausted(what: &str, limit: u64) -> Problem {
-    let detail = format!("the program's budget of {limit} {what} leaves nothing for this call");
+fn budget_exhausted(what: &str, limit: u64) -> Problem {
+    let detail = format!("the call exceeds the program's remaining budget (limit: {limit} {what})");
     Problem::not_run(ResultCode::BudgetExhausted, detail)
 }
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -1,4 +1,4 @@
-//! What a shard's leader is asked to do.
+//! Commands that a shard's leader handles.
 
 use std::time::Duration;
 
@@ -9,109 +9,68 @@
 
 use crate::{Answer, BudgetLimits, LedgerKey, Page, Reservation, ServiceResponse};
 
-/// The life of a node's process that runs a call. When it is known to be dead, so are its calls.
+/// The process that runs a call: a node and the incarnation of its process. Calls of a dead runner are abandoned.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Runner {
-    /// The node.
     pub node: NodeId,
-    /// Its life.
     pub incarnation: Incarnation,
 }
 
-/// One request to a shard's leader.
+/// A request to a shard's leader. `call` identifies the request in its reply.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Admit a turn.
     BeginTurn(Box<BeginTurn>),
-    /// Record a turn's answer.
+    /// Commit a turn's answer.
     FinishTurn(Box<FinishTurn>),
     /// Record that a turn ended without an answer.
     AbandonTurn {
-        /// The program.
         program: ProgramId,
-        /// The call.
         call: CallId,
-        /// Tokens generated before it ended.
+        /// Tokens generated before the turn ended.
         output_tokens: TokenCount,
-        /// Engines that may hold memory for the program.
+        /// Engines that may hold cached state of the program.
         engines: Vec<EngineName>,
-        /// Why, for the program's decisions.
+        /// Recorded in the program's decision log.
         reason: String,
     },
-    /// Stop waiting for a turn that is not yet admitted.
-    ForgetWaiting {
-        /// The program.
-        program: ProgramId,
-        /// The call.
-        call: CallId,
-    },
-    /// Give a sub-agent its part of the parent's budget.
+    /// Drop a waiting turn that is not yet admitted.
+    ForgetWaiting { program: ProgramId, call: CallId },
+    /// Grant a sub-agent a share of its parent's budget.
     GrantChild(GrantChild),
-    /// Take back what an ended sub-agent has not used.
-    ReturnChild {
-        /// The parent.
-        parent: ProgramId,
-        /// The sub-agent.
-        child: ProgramId,
-        /// The part not used.
-        unused: Reservation,
-    },
+    /// Return the unused budget of an ended sub-agent to its parent.
+    ReturnChild { parent: ProgramId, child: ProgramId, unused: Reservation },
     /// End a program.
     EndProgram {
-        /// Identifies the request, for its reply.
         call: CallId,
-        /// The program.
         program: ProgramId,
-        /// Who asks; `None` for the system itself.
+        /// The requesting tenant; `None` if the system itself ends the program.
         tenant: Option<TenantName>,
     },
-    /// Report on a program.
+    /// Report the state of a program of the requesting tenant.
     Describe {
-        /// Identifies the request, for its reply.
         call: CallId,
-        /// The program.
         program: ProgramId,
-        /// Who asks.
         tenant: TenantName,
-        /// Which part of the history and the decisions is wanted.
+        /// The part of the history to return.
         page: Page,
     },
-    /// Tell which of these programs have ended or are not known.
-    ListGone {
-        /// Identifies the request, for its reply.
-        call: CallId,
-        /// The programs.
-        programs: Vec<ProgramId>,
-    },
-    /// Admit a service call that may run only once.
+    /// Select those of `programs` that have ended or are unknown.
+    ListGone { call: CallId, programs: Vec<ProgramId> },
+    /// Admit an at-most-once service call.
     BeginService(BeginService),
     /// Record a service call's response.
-    FinishService {
-        /// The ledger's key.
-        key: LedgerKey,
-        /// The call.
-        call: CallId,
-        /// The response.
-        response: ServiceResponse,
-    },
-    /// A service call is proven not to have been sent.
-    ReleaseService {
-        /// The ledger's key.
-        key: LedgerKey,
-        /// The call.
-        call: CallId,
-    },
-    /// A service call was sent and its response is lost.
-    LoseService {
-        /// The ledger's key.
-        key: LedgerKey,
-        /// The call.
-        call: CallId,
-    },
+    FinishService { key: LedgerKey, call: CallId, response: ServiceResponse },
+    /// Release the key of a service call that was certainly not sent.
+    ReleaseService { key: LedgerKey, call: CallId },
+    /// Record that a service call may have been sent and its response was lost.
+    LoseService { key: LedgerKey, call: CallId },
 }
 
 impl Command {
-    /// The call that the command names, by which its answer is found; 0 where it has no answer.
+    /// The call id that replies to this command carry; `CallId(0)` for a command without a reply.
     pub fn call(&self) -> CallId {
         match self {
             Command::BeginTurn(begin) => begin.call,
@@ -132,92 +91,79 @@
 }
 
 /// A request to admit a turn.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BeginTurn {
-    /// The call.
     pub call: CallId,
-    /// The program.
     pub program: ProgramId,
-    /// The tenant that calls.
     pub tenant: TenantName,
-    /// The program that starts this one, for a sub-agent.
+    /// Set for a sub-agent.
     pub parent: Option<ProgramId>,
-    /// The turn; `None` stands for whichever is next.
+    /// `None` for the next turn.
     pub turn: Option<TurnNumber>,
-    /// The caller's key, if any.
     pub key: Option<IdempotencyKey>,
-    /// How `messages` relate to the history.
+    /// Whether `messages` is the full history or only the new messages.
     pub mode: HistoryMode,
-    /// In full mode: leading messages that are named by their digest instead of being sent.
+    /// In full mode, leading messages that the caller identifies by digest instead of sending them.
     pub known_prefix: KnownPrefix,
     /// The messages after the known prefix.
     pub messages: Vec<ChatMessage>,
-    /// Cap on generated tokens that the caller asked for.
+    /// Limit on generated tokens that the caller requested.
     pub wanted_output: TokenCount,
-    /// Limits of a program that this call creates.
+    /// Budget limits, used if this call creates the program.
     pub limits: BudgetLimits,
-    /// The node that will run the call.
     pub runner: Runner,
-    /// Until when the call may wait for the turn before it.
+    /// Deadline for waiting for the preceding turn.
     pub wait_until: Timestamp,
-    /// How long the call may run once admitted, in which it must be finished or abandoned.
+    /// Time after admission within which the call must be finished or abandoned.
     pub run_limit: Duration,
 }
 
-/// Leading messages named by count and digest.
+/// A prefix of the history, identified by message count and digest.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct KnownPrefix {
-    /// How many messages.
     pub length: usize,
-    /// Their chained digest.
+    /// Chained digest of the prefix.
     pub digest: PrefixDigest,
 }
 
-/// A request to record an answer.
+/// A request to commit a turn's answer.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishTurn {
-    /// The program.
     pub program: ProgramId,
-    /// The call.
     pub call: CallId,
-    /// The answer.
     pub answer: Answer,
-    /// Tokens as the engine reported them.
     pub usage: Usage,
-    /// The engine.
     pub engine: EngineName,
-    /// Engines tried before, which may hold memory for the program.
+    /// Engines of earlier attempts, which may hold cached state of the program.
     pub other_engines: Vec<EngineName>,
-    /// Why that engine was chosen, for the program's decisions.
+    /// Why the engine was chosen; recorded in the program's decision log.
     pub reason: String,
 }
 
-/// A request for a sub-agent's part of a budget.
+/// A request to grant a sub-agent a share of its parent's budget.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantChild {
-    /// Identifies the request, for its reply.
     pub call: CallId,
-    /// The parent.
     pub parent: ProgramId,
-    /// The sub-agent.
     pub child: ProgramId,
-    /// The tenant of both.
     pub tenant: TenantName,
-    /// Percentage of what the parent has left.
+    /// Percentage of the parent's remaining budget.
     pub share_percent: u64,
 }
 
-/// A request to admit a service call.
+/// A request to admit an at-most-once service call.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BeginService {
-    /// The call.
     pub call: CallId,
-    /// The ledger's key.
     pub key: LedgerKey,
-    /// Digest over method, path and body.
+    /// Digest of method, path and body.
     pub request: [u8; 16],
-    /// The node that will run it.
     pub runner: Runner,
-    /// How long the call may run once admitted, in which its outcome must be recorded.
+    /// Time after admission within which the outcome must be recorded.
     pub run_limit: Duration,
 }
--- a/crates/program/src/effect.rs
+++ b/crates/program/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a shard's leader wants done or told.
+//! Replies and side effects that a shard's leader produces.
 
 use std::fmt;
 
@@ -8,175 +8,142 @@
 
 use crate::{Answer, Budget, BudgetLimits, EndReason, Reservation, Runner, ServiceResponse};
 
-/// One thing for the leader's node to do.
+/// An action for the leader's node to carry out.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Answer a request.
-    Reply {
-        /// The call that the request named.
-        call: CallId,
-        /// The answer.
-        reply: Reply,
-    },
-    /// A call under way must be stopped.
-    Cancel {
-        /// The node that runs it.
-        runner: Runner,
-        /// The call.
-        call: CallId,
-    },
-    /// Engines may drop what they hold for a program.
-    FreeEngines {
-        /// The program.
-        program: ProgramId,
-        /// The engines that served it.
-        engines: Vec<EngineName>,
-    },
-    /// A sub-agent must be ended.
-    EndChild {
-        /// The sub-agent.
-        child: ProgramId,
-    },
-    /// An ended sub-agent's unused part goes back to its parent.
-    ReturnToParent {
-        /// The parent.
-        parent: ProgramId,
-        /// The sub-agent.
-        child: ProgramId,
-        /// The part not used.
-        unused: Reservation,
-    },
+    /// Reply to the request that `call` identifies.
+    Reply { call: CallId, reply: Reply },
+    /// Cancel a call in flight.
+    Cancel { runner: Runner, call: CallId },
+    /// Allow engines to free the cached state of a program.
+    FreeEngines { program: ProgramId, engines: Vec<EngineName> },
+    /// End a sub-agent.
+    EndChild { child: ProgramId },
+    /// Return the unused budget of an ended sub-agent to its parent.
+    ReturnToParent { parent: ProgramId, child: ProgramId, unused: Reservation },
 }
 
-/// The answer to a request.
+/// The reply to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// The turn may run now.
+    /// The turn is admitted.
     Run(Box<RunTurn>),
-    /// The turn ran before; here is its answer.
+    /// The turn was committed before, with this answer.
     Replay(RecordedAnswer),
-    /// The named prefix is not what is recorded here: send all messages.
+    /// The known prefix does not match the recorded history; the caller must send all messages.
     SendAllMessages,
-    /// The request is refused.
+    /// The request is rejected.
     Refused(Problem),
-    /// What was asked for is committed.
+    /// The requested change is committed.
     Done,
-    /// The call is settled without an answer. Told from `Done`, since a leader may give a call up in the very
-    /// moment in which its node asks to record the answer.
+    /// The call ended without an answer. Distinct from `Done`, because a leader may abandon a call while its node
+    /// requests to commit the answer.
     Abandoned,
-    /// A sub-agent's limits.
+    /// The budget limits granted to the sub-agent.
     Granted(BudgetLimits),
-    /// A report on a program.
+    /// The state of a program.
     Report(Box<ProgramReport>),
-    /// Programs that have ended or are not known.
+    /// Programs that have ended or are unknown.
     Gone(Vec<ProgramId>),
-    /// The service call may be sent now.
+    /// The service call is admitted.
     RunService,
-    /// The service call ran before; here is its response.
+    /// The service call was completed before, with this response.
     ReplayService(ServiceResponse),
 }
 
-/// Everything that a node needs to run an admitted turn.
+/// What a node needs to run an admitted turn.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunTurn {
-    /// The turn.
     pub turn: TurnNumber,
-    /// Recorded messages before the new ones; empty where the caller sent them all.
+    /// The recorded history; empty if the caller sent all messages.
     pub earlier_messages: Vec<ChatMessage>,
-    /// Cap on generated tokens.
+    /// Limit on generated tokens.
     pub output_tokens: TokenCount,
-    /// Engine of the latest turn, where its context may still be.
+    /// Engine of the latest turn, which may still hold its context.
     pub last_engine: Option<EngineName>,
-    /// Tokens generated for the program so far: its attained service.
+    /// Tokens generated for the program so far (attained service).
     pub attained_tokens: TokenCount,
 }
 
-/// An answer from the history.
+/// The recorded answer of a committed turn.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordedAnswer {
-    /// The turn.
     pub turn: TurnNumber,
-    /// The answer.
     pub answer: Answer,
-    /// Tokens as the engine reported them.
     pub usage: Usage,
 }
 
-/// Which part of a report is wanted.
+/// The part of the history that a report contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Page {
-    /// First message of the history.
+    /// Index of the first message.
     pub first_message: usize,
-    /// Number of messages at the most.
+    /// Maximum number of messages.
     pub messages: usize,
 }
 
-/// State, budget, history and decisions of a program.
+/// State of a program, a page of its history and its recent decisions.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProgramReport {
-    /// The program.
     pub program: ProgramId,
-    /// Its owner.
     pub tenant: TenantName,
-    /// The program that started it.
+    /// Set for a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Sub-agents that have not ended.
+    /// Sub-agents that have not returned their budget.
     pub children: Vec<ProgramId>,
-    /// Budget and what is spent.
     pub budget: Budget,
-    /// Why it ended, if it did.
     pub ended: Option<EndReason>,
-    /// The call under way.
     pub in_flight: Option<CallId>,
-    /// The next turn.
     pub next_turn: TurnNumber,
-    /// Number of messages recorded.
+    /// Total number of recorded messages.
     pub history_length: usize,
-    /// The page of the history asked for.
+    /// The requested page of the history.
     pub messages: Vec<ChatMessage>,
-    /// Engines that may hold memory for it.
+    /// Engines that may hold cached state of the program.
     pub engines: Vec<EngineName>,
-    /// What the system decided for it, oldest first; the current leader's only.
+    /// Decisions of the current leader, oldest first.
     pub decisions: Vec<Decision>,
 }
 
-/// One decision with its reason.
+/// An entry of a program's decision log.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// When.
     pub at: Timestamp,
-    /// What.
     pub kind: DecisionKind,
-    /// The turn it is about, where there is one.
     pub turn: Option<TurnNumber>,
-    /// Why, in words for an operator.
+    /// Explanation for operators.
     pub reason: String,
 }
 
-/// Kinds of decision.
+/// The kind of a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecisionKind {
     /// A turn was admitted.
     Admitted,
-    /// A turn waits for its predecessor.
+    /// A turn waits for an earlier one.
     Held,
-    /// A turn was refused.
+    /// A turn was rejected.
     Refused,
-    /// A recorded answer was given again.
+    /// A recorded answer was returned again.
     Replayed,
-    /// A turn ran and its answer was recorded.
+    /// A turn's answer was submitted for commit.
     Committed,
     /// A turn ended without an answer.
     Abandoned,
     /// The program ended.
     Ended,
-    /// A part of the budget went to a sub-agent.
+    /// A part of the budget was granted to a sub-agent.
     Granted,
 }
 
 impl fmt::Display for DecisionKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = match self {
+        let name = match self {
             DecisionKind::Admitted => "admitted",
             DecisionKind::Held => "held",
             DecisionKind::Refused => "refused",
@@ -186,13 +153,13 @@
             DecisionKind::Ended => "ended",
             DecisionKind::Granted => "granted",
         };
-        formatter.write_str(word)
+        formatter.write_str(name)
     }
 }
 
 impl DecisionKind {
-    /// Finds a kind by the word that `Display` writes.
-    pub fn parse(word: &str) -> Option<Self> {
+    /// Parses the output of `Display`.
+    pub fn parse(name: &str) -> Option<Self> {
         let all = [
             DecisionKind::Admitted,
             DecisionKind::Held,
@@ -203,6 +170,6 @@
             DecisionKind::Ended,
             DecisionKind::Granted,
         ];
-        all.into_iter().find(|kind| kind.to_string() == word)
+        all.into_iter().find(|kind| kind.to_string() == name)
     }
 }
--- a/crates/program/src/entry.rs
+++ b/crates/program/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of a shard's replicated log. Applying them in order is the only way in which state changes.
+//! Entries of a shard's replicated log. Applying them in order is the only way to change a shard's state.
 
 use sumacdrift_types::{
     CallId, ChatMessage, EngineName, IdempotencyKey, ProgramId, TenantName, Timestamp, TurnNumber, Usage,
@@ -6,202 +6,141 @@
 
 use crate::{BudgetLimits, LedgerKey, Reservation, Runner};
 
-/// One change of a shard's state.
+/// A change of a shard's state.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Entry {
-    /// Placed by a new leader, so that it learns that its log is committed; changes nothing.
+    /// No-op that a new leader appends to commit the entries of earlier terms.
     LeaderStarted,
-    /// A program began.
+    /// A program was created.
     ProgramOpened(ProgramOpened),
     /// A turn was admitted and may be sent to an engine.
     TurnAccepted(Box<TurnAccepted>),
-    /// A turn's answer became part of the history.
+    /// A turn's answer was added to the history.
     TurnCommitted(Box<TurnCommitted>),
     /// A turn ended without an answer.
     TurnAbandoned(TurnAbandoned),
-    /// Tokens were used outside the recorded turns.
-    Charged {
-        /// The program that pays.
-        program: ProgramId,
-        /// What was used.
-        used: Reservation,
-    },
-    /// A sub-agent received a part of a parent's budget.
-    ChildGranted {
-        /// The program that gives.
-        parent: ProgramId,
-        /// The sub-agent.
-        child: ProgramId,
-        /// The part given.
-        limits: BudgetLimits,
-    },
-    /// An ended sub-agent gave back what it had not used.
-    ChildReturned {
-        /// The program that receives.
-        parent: ProgramId,
-        /// The sub-agent.
-        child: ProgramId,
-        /// The part given back.
-        unused: Reservation,
-    },
-    /// A program ended; its recorded answers stay for a while.
-    ProgramEnded {
-        /// The program.
-        program: ProgramId,
-        /// Why it ended.
-        reason: EndReason,
-        /// When it ended.
-        at: Timestamp,
-    },
-    /// An ended program's retention passed.
-    ProgramForgotten {
-        /// The program.
-        program: ProgramId,
-    },
+    /// Tokens were used outside the committed turns; only snapshots contain this entry.
+    Charged { program: ProgramId, used: Reservation },
+    /// A sub-agent was granted a part of its parent's budget.
+    ChildGranted { parent: ProgramId, child: ProgramId, limits: BudgetLimits },
+    /// The unused budget of an ended sub-agent was returned to its parent.
+    ChildReturned { parent: ProgramId, child: ProgramId, unused: Reservation },
+    /// A program ended; its recorded answers are kept for the retention time.
+    ProgramEnded { program: ProgramId, reason: EndReason, at: Timestamp },
+    /// The retention time of an ended program passed.
+    ProgramForgotten { program: ProgramId },
     /// A service call was admitted and may be sent.
     ServiceAccepted(ServiceAccepted),
     /// A service call's response was recorded.
     ServiceCommitted {
-        /// The ledger's key.
         key: LedgerKey,
-        /// The call that ran.
         call: CallId,
-        /// The response that every repetition receives.
+        /// Returned to every repetition of the request.
         response: ServiceResponse,
-        /// When it was recorded.
         at: Timestamp,
     },
-    /// A service call is proven not to have been sent; its key is free again.
-    ServiceReleased {
-        /// The ledger's key.
-        key: LedgerKey,
-        /// The call.
-        call: CallId,
-    },
-    /// A service call may have been sent and its response is lost.
-    ServiceUnknown {
-        /// The ledger's key.
-        key: LedgerKey,
-        /// The call.
-        call: CallId,
-        /// When this was found out.
-        at: Timestamp,
-    },
-    /// A ledger entry's retention passed.
-    ServiceForgotten {
-        /// The ledger's key.
-        key: LedgerKey,
-    },
+    /// A service call was certainly not sent; its key may be used again.
+    ServiceReleased { key: LedgerKey, call: CallId },
+    /// A service call may have been sent and its response was lost.
+    ServiceUnknown { key: LedgerKey, call: CallId, at: Timestamp },
+    /// The retention time of a ledger record passed.
+    ServiceForgotten { key: LedgerKey },
 }
 
-/// The beginning of a program.
+/// Creation of a program.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramOpened {
-    /// The program.
     pub program: ProgramId,
-    /// Its owner.
     pub tenant: TenantName,
-    /// The program that started it, for a sub-agent.
+    /// Set for a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Its budget's limits.
     pub limits: BudgetLimits,
-    /// When it began.
     pub at: Timestamp,
 }
 
-/// The admission of a turn.
+/// Admission of a turn.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnAccepted {
-    /// The program.
     pub program: ProgramId,
-    /// The call.
     pub call: CallId,
-    /// The turn.
     pub turn: TurnNumber,
-    /// The caller's key, if any.
     pub key: Option<IdempotencyKey>,
-    /// Messages added before the answer.
+    /// Messages that the turn adds to the history before its answer.
     pub messages: Vec<ChatMessage>,
-    /// What the call may use.
+    /// Budget that the call holds until it ends.
     pub reserved: Reservation,
-    /// The node that runs the call.
     pub runner: Runner,
-    /// When the call is given up even though its node is alive.
+    /// Deadline after which the call is abandoned even if its runner is alive.
     pub give_up_at: Timestamp,
 }
 
-/// The end of a turn with an answer.
+/// Completion of a turn with an answer.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnCommitted {
-    /// The program.
     pub program: ProgramId,
-    /// The call.
     pub call: CallId,
-    /// The answer.
     pub answer: Answer,
-    /// Tokens as the engine reported them.
     pub usage: Usage,
-    /// The engine that ran the call.
     pub engine: EngineName,
-    /// Engines that may hold memory for the program, besides that one.
+    /// Further engines that may hold cached state of the program.
     pub other_engines: Vec<EngineName>,
 }
 
-/// The end of a turn without an answer.
+/// End of a turn without an answer.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnAbandoned {
-    /// The program.
     pub program: ProgramId,
-    /// The call.
     pub call: CallId,
-    /// Tokens generated before it ended.
+    /// Tokens generated before the turn ended.
     pub output_tokens: u64,
-    /// Engines that may hold memory for the program.
+    /// Engines that may hold cached state of the program.
     pub engines: Vec<EngineName>,
 }
 
-/// What an engine answered.
+/// An engine's answer.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The assistant's message.
     pub message: ChatMessage,
-    /// The engine's reason for stopping, such as `stop` or `length`.
+    /// The engine's finish reason, such as `stop` or `length`.
     pub finish_reason: String,
 }
 
 /// Why a program ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its caller ended it.
+    /// Ended by its caller.
     Caller,
-    /// Nobody continued it within its lease.
+    /// No call arrived within the idle lease.
     LeaseExpired,
     /// Its parent ended.
     ParentEnded,
 }
 
-/// The admission of a service call that may run only once.
+/// Admission of an at-most-once service call.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceAccepted {
-    /// The ledger's key.
     pub key: LedgerKey,
-    /// Digest over method, path and body.
+    /// Digest of method, path and body.
     pub request: [u8; 16],
-    /// The call.
     pub call: CallId,
-    /// The node that runs it.
     pub runner: Runner,
-    /// When its outcome is given up even though its node is alive.
+    /// Deadline after which the outcome is declared unknown even if the runner is alive.
     pub give_up_at: Timestamp,
 }
 
-/// A recorded response of a plain HTTP service.
+/// Recorded response of an HTTP service.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceResponse {
-    /// HTTP status.
     pub status: u16,
-    /// The `content-type`, where there was one.
+    /// Value of the `content-type` header.
     pub content_type: Option<String>,
-    /// The body.
     pub body: Vec<u8>,
 }
--- a/crates/program/src/history.rs
+++ b/crates/program/src/history.rs
@@ -1,61 +1,60 @@
-//! The recorded messages of a program, append-only.
+//! The recorded messages of a program.
 
 use sumacdrift_types::{ChatMessage, PrefixDigest};
 
-/// Messages in order, with the chained digest after each of them.
+/// Messages in order, with the chained digest up to and including each of them.
 ///
-/// The digests let a caller's full message list be compared in constant space: a program of many turns costs
-/// memory in proportion to its text, and a comparison costs one digest instead of all the text.
+/// Comparing digests avoids comparing the text of whole histories with each request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
     messages: Vec<ChatMessage>,
-    prefixes: Vec<PrefixDigest>,
+    prefix_digests: Vec<PrefixDigest>,
 }
 
 impl History {
-    /// Number of messages.
+    /// Number of recorded messages.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
 
-    /// Whether nothing is recorded.
+    /// Whether no message is recorded.
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
 
-    /// All messages in order.
+    /// The recorded messages in order.
     pub fn messages(&self) -> &[ChatMessage] {
         &self.messages
     }
 
-    /// The digest after the first `length` messages, if there are that many.
-    pub fn prefix(&self, length: usize) -> Option<PrefixDigest> {
+    /// Digest of the first `length` messages; `None` if there are fewer.
+    pub fn prefix_digest(&self, length: usize) -> Option<PrefixDigest> {
         match length {
             0 => Some(PrefixDigest::default()),
-            _ => self.prefixes.get(length - 1).copied(),
+            _ => self.prefix_digests.get(length - 1).copied(),
         }
     }
 
-    /// The digest after all messages.
+    /// Digest of all messages.
     pub fn digest(&self) -> PrefixDigest {
-        self.prefixes.last().copied().unwrap_or_default()
+        self.prefix_digests.last().copied().unwrap_or_default()
     }
 
-    /// Adds a message at the end.
+    /// Appends a message.
     pub fn push(&mut self, message: ChatMessage) {
         let digest = self.digest().extend(message.digest());
         self.messages.push(message);
-        self.prefixes.push(digest);
+        self.prefix_digests.push(digest);
     }
 
-    /// Drops all messages after the first `length`.
+    /// Keeps the first `length` messages.
     pub fn truncate(&mut self, length: usize) {
         self.messages.truncate(length);
-        self.prefixes.truncate(length);
+        self.prefix_digests.truncate(length);
     }
 }
 
-/// The digest after adding `messages` to a sequence whose digest is `start`.
+/// Extends the chained digest `start` by `messages`.
 pub(crate) fn extend_digest(start: PrefixDigest, messages: &[ChatMessage]) -> PrefixDigest {
     messages.iter().fold(start, |digest, message| digest.extend(message.digest()))
 }
--- a/crates/program/src/leader.rs
+++ b/crates/program/src/leader.rs
@@ -1,7 +1,7 @@
-//! Decisions of a shard's leader.
+//! The leader's part of a shard: admission, waiting calls, expiry and replies.
 //!
-//! Everything here is volatile. A new leader begins with an empty [`ShardLeader`]: callers that waited ask
-//! again, and leases start anew, which can only keep a program longer.
+//! Its state is volatile. A new leader starts with an empty [`ShardLeader`]: waiting callers retry, and idle leases
+//! start again, which can only extend a program's life.
 
 mod expiry;
 mod services;
@@ -18,21 +18,21 @@
     Page, Program, ProgramReport, Reply, Runner, ShardState, TurnAbandoned, TurnCommitted,
 };
 
-/// Decisions kept for each program.
+/// Length of each program's decision log.
 const MAX_DECISIONS: usize = 64;
-/// Calls of one program that may wait at a time.
+/// Maximum number of waiting calls of one program.
 const MAX_WAITING: usize = 16;
-/// When a refused waiting call may be tried again.
-const WAITING_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay sent to callers whose call could not wait, timed out or was abandoned.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Times that the leader works with.
+/// Timeouts of a shard's leader.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderSettings {
-    /// A program without a call for this long is ended.
+    /// A program without calls for longer than this is ended.
     pub idle_lease: Duration,
-    /// Recorded answers of ended programs and settled ledger entries are kept this long.
+    /// How long ended programs and completed ledger records are kept.
     pub retention: Duration,
-    /// A runner that membership does not show as alive for this long has its calls abandoned.
+    /// How long a runner must be missing from the membership before its calls are abandoned.
     pub runner_grace: Duration,
 }
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// Entries to commit and effects that may take place at once.
+/// Result of one step of the leader: entries to commit and effects to carry out.
 #[derive(Debug, Default)]
 pub struct Step {
-    /// To be committed in this order; their effects come when they are applied.
+    /// To be committed in this order; [`ShardLeader::apply`] returns their effects.
     pub entries: Vec<Entry>,
-    /// To be carried out now.
+    /// To be carried out without waiting for the entries.
     pub effects: Vec<Effect>,
 }
 
@@ -60,51 +60,51 @@
         self.effects.push(Effect::Reply { call, reply });
     }
 
-    fn refuse(&mut self, call: CallId, problem: Problem) {
+    fn reject(&mut self, call: CallId, problem: Problem) {
         self.reply(call, Reply::Refused(problem));
     }
 }
 
-/// The volatile half of a shard: waiting calls, leases and the reasons of recent decisions.
+/// Volatile state of a shard's leader: waiting calls, idle leases and recent decisions.
 #[derive(Debug)]
 pub struct ShardLeader {
     settings: LeaderSettings,
-    waiting: BTreeMap<ProgramId, Vec<BeginTurn>>,
-    /// Entries proposed and not yet applied, for each program.
-    proposed: BTreeMap<ProgramId, usize>,
-    proposed_services: BTreeSet<LedgerKey>,
-    ending_calls: BTreeMap<ProgramId, Vec<CallId>>,
-    granting_calls: BTreeMap<(ProgramId, ProgramId), Vec<CallId>>,
+    waiting_turns: BTreeMap<ProgramId, Vec<BeginTurn>>,
+    /// Number of proposed entries of each program that are not yet applied.
+    unapplied_entries: BTreeMap<ProgramId, usize>,
+    proposed_service_keys: BTreeSet<LedgerKey>,
+    end_program_calls: BTreeMap<ProgramId, Vec<CallId>>,
+    grant_child_calls: BTreeMap<(ProgramId, ProgramId), Vec<CallId>>,
     last_activity: BTreeMap<ProgramId, Timestamp>,
     decisions: BTreeMap<ProgramId, VecDeque<Decision>>,
-    missing_runners: BTreeMap<(u32, u64), Timestamp>,
-    /// Calls whose runner needs the recorded history, since the caller sent only what is new.
-    history_wanted: BTreeSet<CallId>,
+    runners_missing_since: BTreeMap<(u32, u64), Timestamp>,
+    /// Calls whose runner needs the recorded history because the caller sent only new messages.
+    calls_needing_history: BTreeSet<CallId>,
 }
 
 impl ShardLeader {
-    /// A leader that has just begun.
+    /// Creates the state of a new leader.
     pub fn new(settings: LeaderSettings) -> Self {
         Self {
             settings,
-            waiting: BTreeMap::new(),
-            proposed: BTreeMap::new(),
-            proposed_services: BTreeSet::new(),
-            ending_calls: BTreeMap::new(),
-            granting_calls: BTreeMap::new(),
+            waiting_turns: BTreeMap::new(),
+            unapplied_entries: BTreeMap::new(),
+            proposed_service_keys: BTreeSet::new(),
+            end_program_calls: BTreeMap::new(),
+            grant_child_calls: BTreeMap::new(),
             last_activity: BTreeMap::new(),
             decisions: BTreeMap::new(),
-            missing_runners: BTreeMap::new(),
-            history_wanted: BTreeSet::new(),
+            runners_missing_since: BTreeMap::new(),
+            calls_needing_history: BTreeSet::new(),
         }
     }
 
-    /// Number of calls that wait for an earlier one.
+    /// Number of calls waiting for an earlier one.
     pub fn waiting_calls(&self) -> usize {
-        self.waiting.values().map(Vec::len).sum()
+        self.waiting_turns.values().map(Vec::len).sum()
     }
 
-    /// Repeats the effects of ended programs, which the previous leader may not have carried out.
+    /// Returns the effects of ended programs again, as the previous leader may not have carried them out.
     pub fn take_over(&mut self, state: &ShardState) -> Step {
         let mut step = Step::default();
         for (program, record) in state.programs().filter(|(_, record)| record.ended.is_some()) {
@@ -113,45 +113,45 @@
         step
     }
 
-    /// Handles one request.
+    /// Handles a command.
     pub fn handle(&mut self, state: &ShardState, command: Command, now: Timestamp) -> Step {
         let mut step = Step::default();
         match command {
-            Command::BeginTurn(begin) => self.begin_turn(state, *begin, now, &mut step),
+            Command::BeginTurn(request) => self.begin_turn(state, *request, now, &mut step),
             Command::FinishTurn(finish) => self.finish_turn(state, *finish, now, &mut step),
             Command::AbandonTurn { program, call, output_tokens, engines, reason } => {
-                self.forget_waiting(&program, call);
-                self.note(&program, DecisionKind::Abandoned, None, reason, now);
+                self.remove_waiting(&program, call);
+                self.record_decision(&program, DecisionKind::Abandoned, None, reason, now);
                 let abandoned = TurnAbandoned { program, call, output_tokens, engines };
                 self.abandon_turn(state, abandoned, &mut step);
             }
-            Command::ForgetWaiting { program, call } => self.forget_waiting(&program, call),
+            Command::ForgetWaiting { program, call } => self.remove_waiting(&program, call),
             Command::GrantChild(grant) => self.grant_child(state, grant, now, &mut step),
             Command::ReturnChild { parent, child, unused } => {
-                let is_held = state.program(&parent).and_then(|record| record.children.get(&child));
-                if let Some(Some(_)) = is_held {
+                let grant = state.program(&parent).and_then(|record| record.children.get(&child));
+                if let Some(Some(_)) = grant {
                     self.propose(&parent.clone(), Entry::ChildReturned { parent, child, unused }, &mut step);
                 }
             }
             Command::EndProgram { call, program, tenant } => {
-                let is_foreign =
+                let belongs_to_other_tenant =
                     |record: &Program| tenant.as_ref().is_some_and(|tenant| *tenant != record.tenant);
                 match state.program(&program) {
-                    None => step.refuse(call, unknown_program()),
-                    Some(record) if is_foreign(record) => step.refuse(call, unknown_program()),
+                    None => step.reject(call, unknown_program()),
+                    Some(record) if belongs_to_other_tenant(record) => step.reject(call, unknown_program()),
                     Some(record) if record.ended.is_some() => step.reply(call, Reply::Done),
                     Some(_) => {
                         let reason =
                             if tenant.is_some() { EndReason::Caller } else { EndReason::ParentEnded };
-                        self.ending_calls.entry(program.clone()).or_default().push(call);
+                        self.end_program_calls.entry(program.clone()).or_default().push(call);
                         self.end_program(&program, reason, now, &mut step);
                     }
                 }
             }
             Command::Describe { call, program, tenant, page } => {
                 match state.program(&program).filter(|record| record.tenant == tenant) {
-                    Some(record) => step.reply(call, self.describe(program, record, page)),
-                    None => step.refuse(call, unknown_program()),
+                    Some(record) => step.reply(call, self.describe_program(program, record, page)),
+                    None => step.reject(call, unknown_program()),
                 }
             }
             Command::ListGone { call, mut programs } => {
@@ -161,7 +161,7 @@
                 programs.retain(|program| state.program(program).is_none_or(|record| record.ended.is_some()));
                 step.reply(call, Reply::Gone(programs));
             }
-            Command::BeginService(begin) => self.begin_service(state, begin, now, &mut step),
+            Command::BeginService(request) => self.begin_service(state, request, now, &mut step),
             Command::FinishService { key, call, response } => {
                 step.entries.push(Entry::ServiceCommitted { key, call, response, at: now });
             }
@@ -175,44 +175,44 @@
         step
     }
 
-    /// Applies a committed entry to the state and works out what follows from it.
+    /// Applies a committed entry to the state and returns the resulting replies, effects and further entries.
     pub fn apply(&mut self, state: &mut ShardState, entry: &Entry, now: Timestamp) -> Step {
         let mut step = Step::default();
-        let interrupted = self.interrupted_call(state, entry);
+        let interrupted_call = self.call_interrupted_by(state, entry);
         state.apply(entry);
         match entry {
             Entry::TurnAccepted(accepted) => {
-                self.applied(&accepted.program);
-                self.run_turn(state, &accepted.program, accepted.call, &mut step);
+                self.mark_applied(&accepted.program);
+                self.reply_to_admitted_turn(state, &accepted.program, accepted.call, &mut step);
             }
             Entry::TurnCommitted(committed) => {
-                self.applied(&committed.program);
+                self.mark_applied(&committed.program);
                 self.confirm_turn(state, committed, &mut step);
                 self.admit_waiting(state, &committed.program, now, &mut step);
             }
             Entry::TurnAbandoned(abandoned) => {
-                self.applied(&abandoned.program);
+                self.mark_applied(&abandoned.program);
                 step.reply(abandoned.call, Reply::Abandoned);
                 self.admit_waiting(state, &abandoned.program, now, &mut step);
             }
-            Entry::ProgramOpened(opened) => self.applied(&opened.program),
+            Entry::ProgramOpened(opened) => self.mark_applied(&opened.program),
             Entry::ChildGranted { parent, child, .. } => {
-                self.applied(parent);
+                self.mark_applied(parent);
                 self.confirm_grant(state, parent, child, &mut step);
                 self.admit_waiting(state, parent, now, &mut step);
             }
             Entry::ChildReturned { parent, .. } => {
-                self.applied(parent);
+                self.mark_applied(parent);
                 self.admit_waiting(state, parent, now, &mut step);
             }
             Entry::ProgramEnded { program, .. } => {
-                self.applied(program);
-                self.confirm_end(state, program, interrupted, now, &mut step);
+                self.mark_applied(program);
+                self.confirm_end(state, program, interrupted_call, now, &mut step);
             }
-            Entry::ProgramForgotten { program } => self.forget_program(program),
+            Entry::ProgramForgotten { program } => self.remove_volatile_state(program),
             Entry::Charged { .. } | Entry::LeaderStarted => {}
             Entry::ServiceAccepted(accepted) => {
-                self.proposed_services.remove(&accepted.key);
+                self.proposed_service_keys.remove(&accepted.key);
                 self.confirm_service(state, accepted, &mut step);
             }
             Entry::ServiceCommitted { key, call, response, .. } => {
@@ -226,88 +226,100 @@
         step
     }
 
-    /// Expires waiting calls, leases and retentions, and abandons calls of dead runners.
+    /// Expires waiting calls, idle leases and retained records, and abandons overdue calls and calls of dead runners.
     pub fn tick(&mut self, state: &ShardState, now: Timestamp, is_alive: &dyn Fn(Runner) -> bool) -> Step {
         let mut step = Step::default();
         self.expire_waiting(now, &mut step);
         self.expire_programs(state, now, &mut step);
         self.expire_ledger(state, now, &mut step);
-        self.abandon_calls_of_dead(state, now, is_alive, &mut step);
+        self.abandon_calls_of_dead_runners(state, now, is_alive, &mut step);
         step
     }
 
-    fn begin_turn(&mut self, state: &ShardState, begin: BeginTurn, now: Timestamp, step: &mut Step) {
-        self.last_activity.insert(begin.program.clone(), now);
-        let record = state.program(&begin.program);
-        let is_proposed = self.proposed.contains_key(&begin.program);
-        match admit_turn(record, is_proposed, &begin, now) {
+    fn begin_turn(&mut self, state: &ShardState, request: BeginTurn, now: Timestamp, step: &mut Step) {
+        self.last_activity.insert(request.program.clone(), now);
+        let record = state.program(&request.program);
+        let has_unapplied_entries = self.unapplied_entries.contains_key(&request.program);
+        match admit_turn(record, has_unapplied_entries, &request, now) {
             Admission::Propose(entries) => {
-                if begin.mode == HistoryMode::Append {
-                    self.history_wanted.insert(begin.call);
+                if request.mode == HistoryMode::Append {
+                    self.calls_needing_history.insert(request.call);
                 }
-                let reason = format!("call {} is next in order and within budget", begin.call);
-                self.note(&begin.program, DecisionKind::Admitted, begin.turn, reason, now);
+                let reason = format!("call {} is next in order and within budget", request.call);
+                self.record_decision(&request.program, DecisionKind::Admitted, request.turn, reason, now);
                 for entry in entries {
-                    self.propose(&begin.program, entry, step);
+                    self.propose(&request.program, entry, step);
                 }
             }
-            Admission::Wait(reason) => self.hold(begin, reason, now, step),
+            Admission::Wait(reason) => self.enqueue_waiting(request, reason, now, step),
             Admission::Reply(reply) => {
-                self.note_reply(&begin.program, begin.turn, &reply, now);
-                step.reply(begin.call, reply);
+                self.record_reply_decision(&request.program, request.turn, &reply, now);
+                step.reply(request.call, reply);
             }
         }
     }
 
-    fn note_reply(&mut self, program: &ProgramId, turn: Option<TurnNumber>, reply: &Reply, now: Timestamp) {
+    fn record_reply_decision(
+        &mut self,
+        program: &ProgramId,
+        turn: Option<TurnNumber>,
+        reply: &Reply,
+        now: Timestamp,
+    ) {
         match reply {
             Reply::Refused(problem) => {
-                self.note(program, DecisionKind::Refused, turn, problem.to_string(), now);
+                self.record_decision(program, DecisionKind::Refused, turn, problem.to_string(), now);
             }
             Reply::Replay(answer) => {
-                let reason = "the turn ran before; its recorded answer was given again".to_owned();
-                self.note(program, DecisionKind::Replayed, Some(answer.turn), reason, now);
+                let reason = "the turn was already committed; its recorded answer was returned".to_owned();
+                self.record_decision(program, DecisionKind::Replayed, Some(answer.turn), reason, now);
             }
             _ => {}
         }
     }
 
-    fn hold(&mut self, begin: BeginTurn, reason: &str, now: Timestamp, step: &mut Step) {
-        if begin.wait_until <= now {
-            step.refuse(begin.call, waited_too_long(&begin));
+    fn enqueue_waiting(&mut self, request: BeginTurn, reason: &str, now: Timestamp, step: &mut Step) {
+        if request.wait_until <= now {
+            step.reject(request.call, wait_timed_out(&request));
             return;
         }
-        self.note(&begin.program, DecisionKind::Held, begin.turn, reason.to_owned(), now);
-        let waiting = self.waiting.entry(begin.program.clone()).or_default();
-        if waiting.len() >= MAX_WAITING {
-            let detail = format!("{MAX_WAITING} calls of the program wait already");
+        self.record_decision(&request.program, DecisionKind::Held, request.turn, reason.to_owned(), now);
+        let waiting_turns = self.waiting_turns.entry(request.program.clone()).or_default();
+        if waiting_turns.len() >= MAX_WAITING {
+            let detail = format!("{MAX_WAITING} calls of the program are already waiting");
             let problem = Problem::not_run(ResultCode::TurnGap, detail);
-            step.refuse(begin.call, problem.with_retry_after(WAITING_RETRY_AFTER));
+            step.reject(request.call, problem.with_retry_after(RETRY_AFTER));
             return;
         }
-        waiting.push(begin);
+        waiting_turns.push(request);
     }
 
     fn admit_waiting(&mut self, state: &ShardState, program: &ProgramId, now: Timestamp, step: &mut Step) {
-        let Some(mut waiting) = self.waiting.remove(program) else { return };
-        waiting.sort_by_key(|begin| begin.turn);
-        for begin in waiting {
-            self.begin_turn(state, begin, now, step);
+        let Some(mut waiting_turns) = self.waiting_turns.remove(program) else { return };
+        waiting_turns.sort_by_key(|request| request.turn);
+        for request in waiting_turns {
+            self.begin_turn(state, request, now, step);
         }
     }
 
-    fn run_turn(&mut self, state: &ShardState, program: &ProgramId, call: CallId, step: &mut Step) {
-        let with_history = self.history_wanted.remove(&call);
+    fn reply_to_admitted_turn(
+        &mut self,
+        state: &ShardState,
+        program: &ProgramId,
+        call: CallId,
+        step: &mut Step,
+    ) {
+        let include_history = self.calls_needing_history.remove(&call);
         let Some(record) = state.program(program) else { return };
         match record.in_flight_call(call) {
-            Some(in_flight) => step.reply(call, run_reply(record, in_flight, with_history)),
-            None => step.refuse(call, no_longer_wanted(Some(record))),
+            Some(in_flight) => step.reply(call, run_reply(record, in_flight, include_history)),
+            None => step.reject(call, call_no_longer_in_flight(Some(record))),
         }
     }
 
     fn finish_turn(&mut self, state: &ShardState, finish: FinishTurn, now: Timestamp, step: &mut Step) {
         let Some(record) = state.program(&finish.program) else {
-            step.refuse(finish.call, no_longer_wanted(None).with_ran(Ran::Yes));
+            step.reject(finish.call, call_no_longer_in_flight(None).with_ran(Ran::Yes));
             return;
         };
         if record.turn_of_call(finish.call).is_some() {
@@ -315,13 +327,19 @@
             return;
         }
         if record.in_flight_call(finish.call).is_none() {
-            step.refuse(finish.call, no_longer_wanted(Some(record)).with_ran(Ran::Yes));
+            step.reject(finish.call, call_no_longer_in_flight(Some(record)).with_ran(Ran::Yes));
             return;
         }
-        // A late copy of the call's beginning must not be refused in the finish's place.
-        self.forget_waiting(&finish.program, finish.call);
+        // A delayed duplicate of the BeginTurn request must not be rejected under the same call id.
+        self.remove_waiting(&finish.program, finish.call);
         self.last_activity.insert(finish.program.clone(), now);
-        self.note(&finish.program, DecisionKind::Committed, Some(record.next_turn()), finish.reason, now);
+        self.record_decision(
+            &finish.program,
+            DecisionKind::Committed,
+            Some(record.next_turn()),
+            finish.reason,
+            now,
+        );
         let committed = TurnCommitted {
             program: finish.program.clone(),
             call: finish.call,
@@ -339,7 +357,7 @@
         if is_recorded {
             step.reply(committed.call, Reply::Done);
         } else {
-            step.refuse(committed.call, no_longer_wanted(record).with_ran(Ran::Yes));
+            step.reject(committed.call, call_no_longer_in_flight(record).with_ran(Ran::Yes));
         }
     }
 
@@ -352,14 +370,14 @@
         }
     }
 
-    fn forget_waiting(&mut self, program: &ProgramId, call: CallId) {
-        if let Some(waiting) = self.waiting.get_mut(program) {
-            waiting.retain(|begin| begin.call != call);
+    fn remove_waiting(&mut self, program: &ProgramId, call: CallId) {
+        if let Some(waiting_turns) = self.waiting_turns.get_mut(program) {
+            waiting_turns.retain(|request| request.call != call);
         }
     }
 
     fn end_program(&mut self, program: &ProgramId, reason: EndReason, now: Timestamp, step: &mut Step) {
-        self.note(program, DecisionKind::Ended, None, format!("{reason:?}"), now);
+        self.record_decision(program, DecisionKind::Ended, None, format!("{reason:?}"), now);
         let entry = Entry::ProgramEnded { program: program.clone(), reason, at: now };
         self.propose(program, entry, step);
     }
@@ -368,37 +386,37 @@
         &mut self,
         state: &ShardState,
         program: &ProgramId,
-        interrupted: Option<InFlight>,
+        interrupted_call: Option<InFlight>,
         now: Timestamp,
         step: &mut Step,
     ) {
-        if let Some(in_flight) = interrupted {
+        if let Some(in_flight) = interrupted_call {
             step.effects
                 .push(Effect::Cancel { runner: in_flight.accepted.runner, call: in_flight.accepted.call });
         }
         if let Some(record) = state.program(program) {
             push_end_effects(program, record, step);
         }
-        for call in self.ending_calls.remove(program).unwrap_or_default() {
+        for call in self.end_program_calls.remove(program).unwrap_or_default() {
             step.reply(call, Reply::Done);
         }
         self.admit_waiting(state, program, now, step);
     }
 
-    fn interrupted_call(&self, state: &ShardState, entry: &Entry) -> Option<InFlight> {
+    fn call_interrupted_by(&self, state: &ShardState, entry: &Entry) -> Option<InFlight> {
         match entry {
             Entry::ProgramEnded { program, .. } => state.program(program)?.in_flight.clone(),
             _ => None,
         }
     }
 
-    fn forget_program(&mut self, program: &ProgramId) {
-        self.applied(program);
+    fn remove_volatile_state(&mut self, program: &ProgramId) {
+        self.mark_applied(program);
         self.last_activity.remove(program);
         self.decisions.remove(program);
     }
 
-    fn describe(&self, program: ProgramId, record: &Program, page: Page) -> Reply {
+    fn describe_program(&self, program: ProgramId, record: &Program, page: Page) -> Reply {
         let decisions = self.decisions.get(&program).into_iter().flatten().cloned().collect();
         let messages = record.history.messages().iter();
         let report = ProgramReport {
@@ -419,19 +437,19 @@
     }
 
     fn propose(&mut self, program: &ProgramId, entry: Entry, step: &mut Step) {
-        *self.proposed.entry(program.clone()).or_default() += 1;
+        *self.unapplied_entries.entry(program.clone()).or_default() += 1;
         step.entries.push(entry);
     }
 
-    fn applied(&mut self, program: &ProgramId) {
-        let Some(count) = self.proposed.get_mut(program) else { return };
+    fn mark_applied(&mut self, program: &ProgramId) {
+        let Some(count) = self.unapplied_entries.get_mut(program) else { return };
         *count -= 1;
         if *count == 0 {
-            self.proposed.remove(program);
+            self.unapplied_entries.remove(program);
         }
     }
 
-    fn note(
+    fn record_decision(
         &mut self,
         program: &ProgramId,
         kind: DecisionKind,
@@ -464,26 +482,26 @@
     }
 }
 
-fn waited_too_long(begin: &BeginTurn) -> Problem {
-    let detail = match begin.turn {
+fn wait_timed_out(request: &BeginTurn) -> Problem {
+    let detail = match request.turn {
         Some(turn) => format!("the call before turn {turn} did not end in time"),
         None => "the program's earlier call did not end in time".to_owned(),
     };
-    Problem::not_run(ResultCode::TurnGap, detail).with_retry_after(WAITING_RETRY_AFTER)
+    Problem::not_run(ResultCode::TurnGap, detail).with_retry_after(RETRY_AFTER)
 }
 
-/// Why a call that was admitted is not wanted any more: its program ended, or the call was given up because its
-/// node was not heard of. In the second case the caller does well to ask again.
-fn no_longer_wanted(record: Option<&Program>) -> Problem {
+/// The reason why an admitted call is no longer in flight: its program has ended, or the call was abandoned because
+/// its node died or missed the deadline. An abandoned call may be retried.
+fn call_no_longer_in_flight(record: Option<&Program>) -> Problem {
     if record.is_some_and(|record| record.ended.is_none()) {
-        let detail = "the call was given up meanwhile, since its node did not answer";
-        return Problem::not_run(ResultCode::NotCommitted, detail).with_retry_after(WAITING_RETRY_AFTER);
+        let detail = "the call was abandoned because its node did not complete it";
+        return Problem::not_run(ResultCode::NotCommitted, detail).with_retry_after(RETRY_AFTER);
     }
-    Problem::not_run(ResultCode::ProgramEnded, "the program ended meanwhile")
+    Problem::not_run(ResultCode::ProgramEnded, "the program ended before the call completed")
 }
 
 fn unknown_program() -> Problem {
-    Problem::not_run(ResultCode::UnknownProgram, "no program of this tenant has that name")
+    Problem::not_run(ResultCode::UnknownProgram, "the tenant has no program with this id")
 }
 
 fn parent_unavailable(what: &str) -> Problem {
@@ -491,11 +509,11 @@
 }
 
 fn in_progress() -> Problem {
-    let detail = "a request with the same key is under way";
-    Problem::unknown(ResultCode::InProgress, detail).with_retry_after(WAITING_RETRY_AFTER)
+    let detail = "a request with the same key is in progress";
+    Problem::unknown(ResultCode::InProgress, detail).with_retry_after(RETRY_AFTER)
 }
 
 fn outcome_unknown() -> Problem {
-    let detail = "the request may have run; its answer is lost and it will not be run again";
+    let detail = "the request may have run; its response was lost and it will not be run again";
     Problem::unknown(ResultCode::OutcomeUnknown, detail)
 }
--- a/crates/program/src/leader/expiry.rs
+++ b/crates/program/src/leader/expiry.rs
@@ -1,37 +1,37 @@
-//! What ends by itself as time passes: waits, leases, retentions, and calls of dead nodes.
+//! Expiry of waiting calls, idle programs and retained records, and abandonment of calls of dead runners.
 
 use sumacdrift_types::Timestamp;
 
-use super::{ShardLeader, Step, waited_too_long};
+use super::{ShardLeader, Step, wait_timed_out};
 use crate::{DecisionKind, EndReason, Entry, LedgerState, Runner, ShardState, TurnAbandoned};
 
 impl ShardLeader {
     pub(super) fn expire_waiting(&mut self, now: Timestamp, step: &mut Step) {
-        for waiting in self.waiting.values_mut() {
-            waiting.retain(|begin| {
-                let keeps_waiting = begin.wait_until > now;
+        for waiting_turns in self.waiting_turns.values_mut() {
+            waiting_turns.retain(|request| {
+                let keeps_waiting = request.wait_until > now;
                 if !keeps_waiting {
-                    step.refuse(begin.call, waited_too_long(begin));
+                    step.reject(request.call, wait_timed_out(request));
                 }
                 keeps_waiting
             });
         }
-        self.waiting.retain(|_, waiting| !waiting.is_empty());
+        self.waiting_turns.retain(|_, waiting_turns| !waiting_turns.is_empty());
     }
 
     pub(super) fn expire_programs(&mut self, state: &ShardState, now: Timestamp, step: &mut Step) {
         let mut idle = Vec::new();
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         for (program, record) in state.programs() {
-            if self.proposed.contains_key(program) {
+            if self.unapplied_entries.contains_key(program) {
                 continue;
             }
             match record.ended {
-                Some((_, at)) if now.since(at) > self.settings.retention => forgotten.push(program.clone()),
+                Some((_, at)) if now.since(at) > self.settings.retention => expired.push(program.clone()),
                 Some(_) => {}
                 None => {
-                    let active = *self.last_activity.entry(program.clone()).or_insert(now);
-                    let is_idle = now.since(active) > self.settings.idle_lease;
+                    let last_active = *self.last_activity.entry(program.clone()).or_insert(now);
+                    let is_idle = now.since(last_active) > self.settings.idle_lease;
                     if is_idle && record.in_flight.is_none() {
                         idle.push(program.clone());
                     }
@@ -41,7 +41,7 @@
         for program in idle {
             self.end_program(&program, EndReason::LeaseExpired, now, step);
         }
-        for program in forgotten {
+        for program in expired {
             let entry = Entry::ProgramForgotten { program: program.clone() };
             self.propose(&program, entry, step);
         }
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn abandon_calls_of_dead(
+    pub(super) fn abandon_calls_of_dead_runners(
         &mut self,
         state: &ShardState,
         now: Timestamp,
@@ -66,16 +66,22 @@
         let turns = state.programs().filter_map(|(_, record)| record.in_flight.clone());
         for in_flight in turns.collect::<Vec<_>>() {
             let accepted = *in_flight.accepted;
-            let is_gone = self.is_gone(accepted.runner, now, is_alive);
+            let is_dead = self.is_dead(accepted.runner, now, is_alive);
             let is_overdue = now >= accepted.give_up_at;
-            if self.proposed.contains_key(&accepted.program) || !(is_gone || is_overdue) {
+            if self.unapplied_entries.contains_key(&accepted.program) || !(is_dead || is_overdue) {
                 continue;
             }
-            let reason = match is_gone {
-                true => format!("node {} that ran it is gone", accepted.runner.node),
-                false => format!("node {} did not end it in time", accepted.runner.node),
+            let reason = match is_dead {
+                true => format!("node {} that ran the call is dead", accepted.runner.node),
+                false => format!("node {} did not end the call before its deadline", accepted.runner.node),
             };
-            self.note(&accepted.program, DecisionKind::Abandoned, Some(accepted.turn), reason, now);
+            self.record_decision(
+                &accepted.program,
+                DecisionKind::Abandoned,
+                Some(accepted.turn),
+                reason,
+                now,
+            );
             let abandoned = TurnAbandoned {
                 program: accepted.program,
                 call: accepted.call,
@@ -85,21 +91,21 @@
             self.abandon_turn(state, abandoned, step);
         }
         for (key, record) in state.ledger() {
-            let is_open = record.state == LedgerState::Accepted;
+            let is_in_progress = record.state == LedgerState::Accepted;
             let is_overdue = now >= record.give_up_at;
-            if is_open && (is_overdue || self.is_gone(record.runner, now, is_alive)) {
+            if is_in_progress && (is_overdue || self.is_dead(record.runner, now, is_alive)) {
                 step.entries.push(Entry::ServiceUnknown { key: key.clone(), call: record.call, at: now });
             }
         }
     }
 
-    fn is_gone(&mut self, runner: Runner, now: Timestamp, is_alive: &dyn Fn(Runner) -> bool) -> bool {
+    fn is_dead(&mut self, runner: Runner, now: Timestamp, is_alive: &dyn Fn(Runner) -> bool) -> bool {
         let key = (runner.node.0, runner.incarnation.0);
         if is_alive(runner) {
-            self.missing_runners.remove(&key);
+            self.runners_missing_since.remove(&key);
             return false;
         }
-        let since = *self.missing_runners.entry(key).or_insert(now);
-        now.since(since) >= self.settings.runner_grace
+        let missing_since = *self.runners_missing_since.entry(key).or_insert(now);
+        now.since(missing_since) >= self.settings.runner_grace
     }
 }
--- a/crates/program/src/leader/services.rs
+++ b/crates/program/src/leader/services.rs
@@ -1,4 +1,4 @@
-//! Calls to services that run once, and budgets of child programs.
+//! At-most-once service calls and budgets of sub-agents.
 
 use std::time::Duration;
 
@@ -19,16 +19,18 @@
         now: Timestamp,
         step: &mut Step,
     ) {
-        let usable = state
+        let active_parent = state
             .program(&grant.parent)
             .filter(|record| record.tenant == grant.tenant && record.ended.is_none());
-        let Some(record) = usable else {
-            step.refuse(grant.call, parent_unavailable("does not exist or has ended"));
+        let Some(record) = active_parent else {
+            step.reject(grant.call, parent_unavailable("does not exist or has ended"));
             return;
         };
         match record.children.get(&grant.child) {
             Some(Some(limits)) => step.reply(grant.call, Reply::Granted(*limits)),
-            Some(None) => step.refuse(grant.call, parent_unavailable("has ended this sub-agent")),
+            Some(None) => {
+                step.reject(grant.call, parent_unavailable("has already taken back this sub-agent's budget"))
+            }
             None => self.propose_grant(record, grant, now, step),
         }
     }
@@ -40,23 +42,23 @@
         now: Timestamp,
         step: &mut Step,
     ) {
-        let pair = (grant.parent.clone(), grant.child.clone());
-        if let Some(calls) = self.granting_calls.get_mut(&pair) {
+        let key = (grant.parent.clone(), grant.child.clone());
+        if let Some(calls) = self.grant_child_calls.get_mut(&key) {
             calls.push(grant.call);
             return;
         }
-        if self.granting_calls.keys().any(|(parent, _)| *parent == grant.parent) {
-            // One grant at a time: the next one must see what this one leaves.
-            let problem = parent_unavailable("is giving a part to another sub-agent");
-            step.refuse(grant.call, problem.with_retry_after(Duration::from_millis(20)));
+        if self.grant_child_calls.keys().any(|(parent, _)| *parent == grant.parent) {
+            // One grant at a time, so that the next one is computed from the remaining budget.
+            let problem = parent_unavailable("is granting budget to another sub-agent");
+            step.reject(grant.call, problem.with_retry_after(Duration::from_millis(20)));
             return;
         }
         match record.budget.plan_child(grant.share_percent, now) {
-            Err(problem) => step.refuse(grant.call, problem),
+            Err(problem) => step.reject(grant.call, problem),
             Ok(limits) => {
-                let reason = format!("{} received {limits:?}", grant.child);
-                self.note(&grant.parent, DecisionKind::Granted, None, reason, now);
-                self.granting_calls.insert(pair, vec![grant.call]);
+                let reason = format!("granted to {}: {limits:?}", grant.child);
+                self.record_decision(&grant.parent, DecisionKind::Granted, None, reason, now);
+                self.grant_child_calls.insert(key, vec![grant.call]);
                 let entry = Entry::ChildGranted { parent: grant.parent.clone(), child: grant.child, limits };
                 self.propose(&grant.parent, entry, step);
             }
@@ -70,12 +72,12 @@
         child: &ProgramId,
         step: &mut Step,
     ) {
-        let calls = self.granting_calls.remove(&(parent.clone(), child.clone())).unwrap_or_default();
+        let calls = self.grant_child_calls.remove(&(parent.clone(), child.clone())).unwrap_or_default();
         let granted = state.program(parent).and_then(|record| record.children.get(child).copied().flatten());
         for call in calls {
             match granted {
                 Some(limits) => step.reply(call, Reply::Granted(limits)),
-                None => step.refuse(call, parent_unavailable("ended")),
+                None => step.reject(call, parent_unavailable("ended")),
             }
         }
     }
@@ -83,53 +85,56 @@
     pub(super) fn begin_service(
         &mut self,
         state: &ShardState,
-        begin: BeginService,
+        request: BeginService,
         now: Timestamp,
         step: &mut Step,
     ) {
-        let Some(record) = state.ledger_record(&begin.key) else {
+        let Some(record) = state.ledger_record(&request.key) else {
             if is_broken(Rule::LedgerBeforeSending) {
-                step.reply(begin.call, Reply::RunService);
+                step.reply(request.call, Reply::RunService);
                 return;
             }
-            if !self.proposed_services.insert(begin.key.clone()) {
-                step.refuse(begin.call, in_progress());
+            if !self.proposed_service_keys.insert(request.key.clone()) {
+                step.reject(request.call, in_progress());
                 return;
             }
             step.entries.push(Entry::ServiceAccepted(ServiceAccepted {
-                key: begin.key,
-                request: begin.request,
-                call: begin.call,
-                runner: begin.runner,
-                give_up_at: now + begin.run_limit,
+                key: request.key,
+                request: request.request,
+                call: request.call,
+                runner: request.runner,
+                give_up_at: now + request.run_limit,
             }));
             return;
         };
-        if record.request != begin.request {
-            let detail = "the key was used before with another method, path or body";
-            step.refuse(begin.call, Problem::not_run(ResultCode::KeyContentDiffers, detail));
+        if record.request != request.request {
+            let detail = "the key was already used with a different method, path or body";
+            step.reject(request.call, Problem::not_run(ResultCode::KeyContentDiffers, detail));
             return;
         }
         match &record.state {
-            // The answer to this very request was lost on the way.
-            LedgerState::Accepted if record.call == begin.call => step.reply(begin.call, Reply::RunService),
-            LedgerState::Accepted => step.refuse(begin.call, in_progress()),
+            // A retry of the admitted request, whose reply was lost.
+            LedgerState::Accepted if record.call == request.call => {
+                step.reply(request.call, Reply::RunService)
+            }
+            LedgerState::Accepted => step.reject(request.call, in_progress()),
             LedgerState::Unknown { .. } if is_broken(Rule::UnknownIsNotRunAgain) => {
-                step.reply(begin.call, Reply::RunService);
+                step.reply(request.call, Reply::RunService);
             }
-            LedgerState::Unknown { .. } => step.refuse(begin.call, outcome_unknown()),
+            LedgerState::Unknown { .. } => step.reject(request.call, outcome_unknown()),
             LedgerState::Committed { response, .. } => {
-                step.reply(begin.call, Reply::ReplayService(response.clone()));
+                step.reply(request.call, Reply::ReplayService(response.clone()));
             }
         }
     }
 
     pub(super) fn confirm_service(&self, state: &ShardState, accepted: &ServiceAccepted, step: &mut Step) {
-        let admitted = state.ledger_record(&accepted.key).is_some_and(|record| record.call == accepted.call);
-        if admitted {
+        let is_admitted =
+            state.ledger_record(&accepted.key).is_some_and(|record| record.call == accepted.call);
+        if is_admitted {
             step.reply(accepted.call, Reply::RunService);
         } else {
-            step.refuse(accepted.call, in_progress());
+            step.reject(accepted.call, in_progress());
         }
     }
 
@@ -145,7 +150,7 @@
             Some(LedgerState::Committed { response: recorded, .. }) if recorded == response => {
                 step.reply(call, Reply::Done);
             }
-            _ => step.refuse(call, outcome_unknown()),
+            _ => step.reject(call, outcome_unknown()),
         }
     }
 }
--- a/crates/program/src/ledger.rs
+++ b/crates/program/src/ledger.rs
@@ -1,56 +1,44 @@
-//! The ledger of service calls that may run at most once.
+//! The ledger of at-most-once service calls.
 
 use sumacdrift_types::{CallId, IdempotencyKey, ServiceName, TenantName, Timestamp};
 
 use crate::{Runner, ServiceResponse};
 
-/// What makes two service calls the same call.
+/// Identity of a service call: requests with the same key run at most once.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LedgerKey {
-    /// The tenant that calls.
     pub tenant: TenantName,
-    /// The service called.
     pub service: ServiceName,
-    /// The caller's key.
     pub key: IdempotencyKey,
 }
 
-/// What is known of one service call.
+/// Ledger record of one service call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LedgerRecord {
-    /// Digest over method, path and body.
+    /// Digest of method, path and body.
     pub request: [u8; 16],
-    /// The call that was admitted.
     pub call: CallId,
-    /// The node that runs it.
     pub runner: Runner,
-    /// When its outcome is given up even though its node is alive.
+    /// Deadline after which the outcome is declared unknown even if the runner is alive.
     pub give_up_at: Timestamp,
-    /// How far it came.
     pub state: LedgerState,
 }
 
-/// How far a service call came.
+/// State of a service call; `at` is when it was reached.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LedgerState {
-    /// Admitted; it may have been sent.
+    /// Admitted; the request may have been sent.
     Accepted,
-    /// Ended with a response.
-    Committed {
-        /// The response.
-        response: ServiceResponse,
-        /// When it was recorded.
-        at: Timestamp,
-    },
-    /// It may have been sent and the response is lost.
-    Unknown {
-        /// When this was found out.
-        at: Timestamp,
-    },
+    /// Completed with a response.
+    Committed { response: ServiceResponse, at: Timestamp },
+    /// The request may have been sent and the response was lost.
+    Unknown { at: Timestamp },
 }
 
 impl LedgerState {
-    /// When the call was settled one way or the other.
+    /// When the outcome was recorded; `None` while the call is in progress.
     pub fn settled_at(&self) -> Option<Timestamp> {
         match self {
             LedgerState::Accepted => None,
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,9 +1,9 @@
-//! The state of programs: order of calls, history, budget and the ledger of calls that may run only once.
+//! Program state: turn order, history, budget and the ledger of at-most-once service calls.
 //!
-//! The crate is a pair of state machines without input or output of their own. [`ShardState`] holds what
-//! must last; it changes only by applying a committed [`Entry`], and so ends up the same on every replica.
-//! [`ShardLeader`] exists on the leading replica only; it turns a [`Command`] into entries to be committed
-//! and into [`Effect`]s for the caller. Nothing in the leader needs to survive it.
+//! The crate consists of two state machines that do no I/O. [`ShardState`] is the replicated state; it changes
+//! only by applying committed [`Entry`]s and is therefore identical on every replica. [`ShardLeader`] exists on
+//! the leader only; it turns each [`Command`] into entries to commit and [`Effect`]s to carry out. Its state is
+//! volatile and is lost on a change of leader.
 
 mod admission;
 mod budget;
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -1,4 +1,4 @@
-//! The lasting state of one program.
+//! The replicated state of one program.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,60 +11,55 @@
     Runner, TurnAccepted, TurnCommitted,
 };
 
-/// A program as every replica of its shard knows it.
+/// The replicated state of one program.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Program {
-    /// Its owner.
     pub tenant: TenantName,
-    /// The program that started it.
+    /// Set for a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Budget.
     pub budget: Budget,
-    /// Recorded messages, without those of the call under way.
+    /// Committed messages, without those of the call in flight.
     pub history: History,
-    /// Turns with an answer, in order.
+    /// Committed turns, in order.
     pub turns: Vec<TurnRecord>,
-    /// The call under way.
     pub in_flight: Option<InFlight>,
-    /// Sub-agents and the parts of the budget they hold; `None` once one gave its part back.
+    /// Sub-agents and the budget granted to them; `None` once a sub-agent has ended and returned its budget.
     pub children: BTreeMap<ProgramId, Option<BudgetLimits>>,
-    /// Engines that may hold memory for the program.
+    /// Engines that may hold cached state of the program.
     pub engines: BTreeSet<EngineName>,
-    /// Engine of the latest turn.
+    /// Engine of the latest committed turn.
     pub last_engine: Option<EngineName>,
-    /// When and why it ended.
+    /// Why and when the program ended.
     pub ended: Option<(EndReason, Timestamp)>,
-    /// What it used outside recorded turns and grants.
+    /// Tokens used outside committed turns and current grants.
     pub(crate) charged: Reservation,
 }
 
-/// A turn with a recorded answer. The answer's text is the history's message at `answer_index`.
+/// A committed turn.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnRecord {
-    /// The call that ran.
     pub call: CallId,
-    /// The caller's key.
     pub key: Option<IdempotencyKey>,
-    /// Digest of all messages up to the answer.
+    /// Digest of the history before the answer.
     pub request: PrefixDigest,
-    /// Where the answer stands in the history.
+    /// Index of the answer in the history.
     pub answer_index: usize,
-    /// The engine's reason for stopping.
     pub finish_reason: String,
-    /// Tokens as the engine reported them.
+    /// Token counts as reported by the engine.
     pub usage: Usage,
-    /// The engine that ran it.
     pub engine: EngineName,
-    /// Input tokens booked for it.
+    /// Estimated input tokens booked in the budget.
     pub input_tokens: u64,
 }
 
-/// A call that was admitted and has not ended.
+/// An admitted call that has not ended.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InFlight {
-    /// What was admitted.
     pub accepted: Box<TurnAccepted>,
-    /// Digest of all messages up to the awaited answer.
+    /// Digest of the history before the pending answer.
     pub request: PrefixDigest,
 }
 
@@ -85,17 +80,17 @@
         }
     }
 
-    /// The turn that may run next.
+    /// Number of the next turn.
     pub fn next_turn(&self) -> TurnNumber {
         TurnNumber(self.turns.len() as u32)
     }
 
-    /// The call under way, if it is this one.
+    /// The call in flight, if its id is `call`.
     pub fn in_flight_call(&self, call: CallId) -> Option<&InFlight> {
         self.in_flight.as_ref().filter(|in_flight| in_flight.accepted.call == call)
     }
 
-    /// The recorded answer of a turn.
+    /// The answer of a committed turn.
     pub fn recorded_answer(&self, turn: TurnNumber) -> Option<RecordedAnswer> {
         let record = self.turns.get(turn.0 as usize)?;
         let message = self.history.messages().get(record.answer_index)?.clone();
@@ -103,21 +98,21 @@
         Some(RecordedAnswer { turn, answer, usage: record.usage })
     }
 
-    /// The turn that ran as this call, if one did.
+    /// The committed turn that ran as `call`.
     pub fn turn_of_call(&self, call: CallId) -> Option<TurnNumber> {
         let position = self.turns.iter().rposition(|record| record.call == call)?;
         Some(TurnNumber(position as u32))
     }
 
-    /// The turn that was recorded under the caller's key.
+    /// The committed turn with this idempotency key.
     pub fn turn_of_key(&self, key: &IdempotencyKey) -> Option<TurnNumber> {
         let position = self.turns.iter().position(|record| record.key.as_ref() == Some(key))?;
         Some(TurnNumber(position as u32))
     }
 
     pub(crate) fn accept(&mut self, accepted: &TurnAccepted) {
-        let fits = self.ended.is_none() && self.in_flight.is_none() && self.next_turn() == accepted.turn;
-        if !fits {
+        let is_next = self.ended.is_none() && self.in_flight.is_none() && self.next_turn() == accepted.turn;
+        if !is_next {
             return;
         }
         let request = crate::history::extend_digest(self.history.digest(), &accepted.messages);
@@ -178,28 +173,28 @@
         if self.children.contains_key(child) {
             return;
         }
-        self.budget.carve(&limits);
+        self.budget.reserve_for_child(&limits);
         self.children.insert(child.clone(), Some(limits));
     }
 
-    pub(crate) fn take_back(&mut self, child: &ProgramId, unused: Reservation) {
-        let Some(slot) = self.children.get_mut(child) else { return };
-        let Some(limits) = slot.take() else { return };
+    pub(crate) fn return_budget(&mut self, child: &ProgramId, unused: Reservation) {
+        let Some(grant) = self.children.get_mut(child) else { return };
+        let Some(limits) = grant.take() else { return };
         let unused = Reservation {
             input_tokens: unused.input_tokens.min(limits.input_tokens),
             output_tokens: unused.output_tokens.min(limits.output_tokens),
         };
-        self.budget.take_back(unused);
+        self.budget.return_unused(unused);
         self.charged.input_tokens += limits.input_tokens - unused.input_tokens;
         self.charged.output_tokens += limits.output_tokens - unused.output_tokens;
     }
 
-    /// Sub-agents that have not ended.
+    /// Sub-agents that have not returned their budget.
     pub fn live_children(&self) -> impl Iterator<Item = &ProgramId> {
         self.children.iter().filter(|(_, limits)| limits.is_some()).map(|(child, _)| child)
     }
 
-    /// The shortest list of entries that builds this program again; used as its snapshot.
+    /// Entries that rebuild this program, used as its snapshot.
     pub(crate) fn to_entries(&self, program: &ProgramId) -> Vec<Entry> {
         let mut entries = Vec::with_capacity(self.turns.len() * 2 + self.children.len() + 3);
         entries.push(Entry::ProgramOpened(ProgramOpened {
@@ -209,17 +204,17 @@
             limits: self.budget.limits,
             at: self.budget.started,
         }));
-        let mut start = 0;
+        let mut first_message = 0;
         for (number, record) in self.turns.iter().enumerate() {
-            let accepted = self.rebuilt_acceptance(program, number, record, start);
+            let accepted = self.rebuild_accepted(program, number, record, first_message);
             entries.push(Entry::TurnAccepted(Box::new(accepted)));
-            entries.push(Entry::TurnCommitted(Box::new(self.rebuilt_commit(program, record))));
-            start = record.answer_index + 1;
+            entries.push(Entry::TurnCommitted(Box::new(self.rebuild_committed(program, record))));
+            first_message = record.answer_index + 1;
         }
         if let Some(in_flight) = &self.in_flight {
             entries.push(Entry::TurnAccepted(in_flight.accepted.clone()));
         }
-        self.push_children_entries(program, &mut entries);
+        self.push_child_entries(program, &mut entries);
         if self.charged != Reservation::default() {
             entries.push(Entry::Charged { program: program.clone(), used: self.charged });
         }
@@ -229,26 +224,26 @@
         entries
     }
 
-    fn rebuilt_acceptance(
+    fn rebuild_accepted(
         &self,
         program: &ProgramId,
         number: usize,
         record: &TurnRecord,
-        start: usize,
+        first_message: usize,
     ) -> TurnAccepted {
         TurnAccepted {
             program: program.clone(),
             call: record.call,
             turn: TurnNumber(number as u32),
             key: record.key.clone(),
-            messages: self.history.messages()[start..record.answer_index].to_vec(),
+            messages: self.history.messages()[first_message..record.answer_index].to_vec(),
             reserved: Reservation { input_tokens: record.input_tokens, output_tokens: 0 },
             runner: Runner { node: Default::default(), incarnation: Default::default() },
             give_up_at: Default::default(),
         }
     }
 
-    fn rebuilt_commit(&self, program: &ProgramId, record: &TurnRecord) -> TurnCommitted {
+    fn rebuild_committed(&self, program: &ProgramId, record: &TurnRecord) -> TurnCommitted {
         let message = self.history.messages()[record.answer_index].clone();
         TurnCommitted {
             program: program.clone(),
@@ -260,11 +255,12 @@
         }
     }
 
-    fn push_children_entries(&self, program: &ProgramId, entries: &mut Vec<Entry>) {
-        let nothing = BudgetLimits { turns: 0, input_tokens: 0, output_tokens: 0, seconds: 0, sub_agents: 0 };
+    fn push_child_entries(&self, program: &ProgramId, entries: &mut Vec<Entry>) {
+        let zero_limits =
+            BudgetLimits { turns: 0, input_tokens: 0, output_tokens: 0, seconds: 0, sub_agents: 0 };
         for (child, limits) in &self.children {
             let (parent, child) = (program.clone(), child.clone());
-            let granted = limits.unwrap_or(nothing);
+            let granted = limits.unwrap_or(zero_limits);
             entries.push(Entry::ChildGranted {
                 parent: parent.clone(),
                 child: child.clone(),
--- a/crates/program/src/state.rs
+++ b/crates/program/src/state.rs
@@ -1,4 +1,4 @@
-//! The lasting state of one shard.
+//! The replicated state of one shard.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::ledger::LedgerRecord;
 use crate::{Entry, LedgerKey, LedgerState, Program, ServiceAccepted};
 
-/// Programs and ledger of one shard; equal on every replica that applied the same entries.
+/// Programs and service ledger of one shard; equal on all replicas that have applied the same entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardState {
     programs: BTreeMap<ProgramId, Program>,
@@ -15,17 +15,17 @@
 }
 
 impl ShardState {
-    /// Finds a program.
+    /// The program with this id, unless it is unknown or forgotten.
     pub fn program(&self, program: &ProgramId) -> Option<&Program> {
         self.programs.get(program)
     }
 
-    /// All programs in order of name.
+    /// All programs, ordered by id.
     pub fn programs(&self) -> impl Iterator<Item = (&ProgramId, &Program)> {
         self.programs.iter()
     }
 
-    /// How far a service call came.
+    /// State of a service call; `None` if the key is unknown.
     pub fn ledger_state(&self, key: &LedgerKey) -> Option<&LedgerState> {
         self.ledger.get(key).map(|record| &record.state)
     }
@@ -38,7 +38,8 @@
         self.ledger.iter()
     }
 
-    /// Applies one committed entry. Entries that no longer fit, such as a second commit, change nothing.
+    /// Applies a committed entry. An entry that does not match the state, such as a second commit of a turn, is
+    /// ignored.
     pub fn apply(&mut self, entry: &Entry) {
         match entry {
             Entry::LeaderStarted => {}
@@ -47,22 +48,22 @@
                 self.programs.entry(program).or_insert_with(|| Program::new(opened));
             }
             Entry::TurnAccepted(accepted) => {
-                self.change(&accepted.program, |program| program.accept(accepted));
+                self.update_program(&accepted.program, |program| program.accept(accepted));
             }
             Entry::TurnCommitted(committed) => {
-                self.change(&committed.program, |program| program.commit(committed));
+                self.update_program(&committed.program, |program| program.commit(committed));
             }
-            Entry::TurnAbandoned(abandoned) => self.change(&abandoned.program, |program| {
+            Entry::TurnAbandoned(abandoned) => self.update_program(&abandoned.program, |program| {
                 program.abandon(abandoned.call, abandoned.output_tokens, &abandoned.engines);
             }),
-            Entry::Charged { program, used } => self.change(program, |program| program.charge(*used)),
+            Entry::Charged { program, used } => self.update_program(program, |program| program.charge(*used)),
             Entry::ChildGranted { parent, child, limits } => {
-                self.change(parent, |program| program.grant(child, *limits));
+                self.update_program(parent, |program| program.grant(child, *limits));
             }
             Entry::ChildReturned { parent, child, unused } => {
-                self.change(parent, |program| program.take_back(child, *unused));
+                self.update_program(parent, |program| program.return_budget(child, *unused));
             }
-            Entry::ProgramEnded { program, reason, at } => self.change(program, |program| {
+            Entry::ProgramEnded { program, reason, at } => self.update_program(program, |program| {
                 program.ended.get_or_insert((*reason, *at));
                 program.in_flight = None;
                 program.budget.reserved = Default::default();
@@ -85,9 +86,9 @@
                 self.settle_service(key, *call, LedgerState::Unknown { at: *at });
             }
             Entry::ServiceReleased { key, call } => {
-                let releasable =
+                let is_releasable =
                     |record: &LedgerRecord| record.call == *call && record.state == LedgerState::Accepted;
-                if self.ledger.get(key).is_some_and(releasable) {
+                if self.ledger.get(key).is_some_and(is_releasable) {
                     self.ledger.remove(key);
                 }
             }
@@ -110,22 +111,22 @@
 
     fn settle_service(&mut self, key: &LedgerKey, call: sumacdrift_types::CallId, state: LedgerState) {
         let Some(record) = self.ledger.get_mut(key) else { return };
-        // A response that arrives after the outcome was declared unknown is still the truth.
-        let is_settled = matches!(record.state, LedgerState::Committed { .. });
-        if record.call == call && !is_settled {
+        // A response that arrives late replaces an unknown outcome.
+        let is_committed = matches!(record.state, LedgerState::Committed { .. });
+        if record.call == call && !is_committed {
             record.state = state;
         }
     }
 
-    fn change(&mut self, program: &ProgramId, change: impl FnOnce(&mut Program)) {
+    fn update_program(&mut self, program: &ProgramId, update: impl FnOnce(&mut Program)) {
         if let Some(program) = self.programs.get_mut(program) {
-            change(program);
+            update(program);
         }
     }
 
-    /// The shortest list of entries that builds this state again.
+    /// Entries that rebuild this state, used as its snapshot.
     ///
-    /// Serves as the snapshot, so that one codec and one `apply` cover both log and snapshot.
+    /// Log and snapshot thereby share one encoding and one `apply`.
     pub fn to_entries(&self) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (program, state) in &self.programs {
@@ -137,7 +138,7 @@
         entries
     }
 
-    /// Builds a state from entries.
+    /// Applies entries to an empty state.
     pub fn from_entries<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> Self {
         let mut state = Self::default();
         for entry in entries {
