--- a/crates/replication/src/configuration.rs
+++ b/crates/replication/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Who belongs to a group.
+//! Group membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -7,12 +7,11 @@
 
 use crate::LogIndex;
 
-/// One life of one node as a member of groups.
+/// A replica: a node and the incarnation of its process.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReplicaId {
-    /// The node.
     pub node: NodeId,
-    /// The life of its process.
     pub incarnation: Incarnation,
 }
 
@@ -22,64 +21,64 @@
     }
 }
 
-/// Voters and learners of a group. A configuration is in force from the moment it stands in a replica's log.
+/// Voters and learners of a group. A replica uses the latest configuration in its log, committed or not.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Configuration {
-    /// Replicas that elect leaders and whose majority commits.
+    /// Replicas that vote in elections and count towards the commit majority.
     pub voters: BTreeSet<ReplicaId>,
-    /// Replicas that receive the log and have no vote.
+    /// Replicas that receive the log and don't vote.
     pub learners: BTreeSet<ReplicaId>,
-    /// Where in the log each member was added; founders are left out.
+    /// Index of the entry that added each member; initial members are omitted.
     pub added: BTreeMap<ReplicaId, LogIndex>,
 }
 
-/// One step of membership change. Only single steps are allowed, so that any two majorities share a replica.
+/// A membership change of a single replica, so that old and new majorities always overlap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationChange {
-    /// Begin to send the log to a replica.
+    /// Add a replica without a vote.
     AddLearner(ReplicaId),
-    /// Give a learner a vote.
+    /// Turn a learner into a voter.
     Promote(ReplicaId),
-    /// Drop a voter or learner.
+    /// Remove a voter or learner.
     Remove(ReplicaId),
 }
 
 impl Configuration {
-    /// A configuration of voters only.
+    /// Creates the initial configuration of a group, without learners.
     pub fn of_voters(voters: impl IntoIterator<Item = ReplicaId>) -> Self {
         Self { voters: voters.into_iter().collect(), ..Self::default() }
     }
 
-    /// Number of voters that make a majority.
+    /// Number of voters in a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the replica votes.
+    /// Whether the replica is a voter.
     pub fn is_voter(&self, replica: ReplicaId) -> bool {
         self.voters.contains(&replica)
     }
 
-    /// Whether the replica votes or learns.
+    /// Whether the replica is a voter or learner.
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.is_voter(replica) || self.learners.contains(&replica)
     }
 
-    /// All members.
+    /// Voters, then learners.
     pub fn members(&self) -> impl Iterator<Item = ReplicaId> {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// Where in the log a member was added; 0 for a founder.
+    /// Index of the entry that added a member; 0 for an initial member.
     ///
-    /// It tells one membership of a replica from a later one: an acknowledgement from before its removal says
-    /// nothing about what it holds after it was added again.
-    pub fn added_at(&self, replica: ReplicaId) -> LogIndex {
+    /// Distinguishes successive memberships of a replica: an acknowledgement from before its removal is not valid
+    /// after it has been added again.
+    pub fn added_index(&self, replica: ReplicaId) -> LogIndex {
         self.added.get(&replica).copied().unwrap_or(0)
     }
 
-    /// The configuration after one step at a place in the log; `None` where the step changes nothing or leaves
-    /// no voter.
+    /// The configuration after a change at log position `index`; `None` if the change has no effect or leaves no
+    /// voters.
     pub fn changed(&self, change: ConfigurationChange, index: LogIndex) -> Option<Configuration> {
         let mut next = self.clone();
         match change {
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,4 +1,4 @@
-//! Candidacy: when to stand, for whom to vote, and counting votes.
+//! Election state: votes received, vote granted and election timeout.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,16 +9,15 @@
 
 use crate::{Configuration, ReplicaId, Term};
 
-/// An election that this replica runs in.
+/// Votes received by a candidate.
 #[derive(Debug, Default)]
-pub(crate) struct Ballot {
+pub(crate) struct VoteTally {
     granted: BTreeSet<ReplicaId>,
 }
 
-impl Ballot {
-    /// A ballot with one's own vote.
-    pub(crate) fn with_own(own: ReplicaId) -> Self {
-        Self { granted: BTreeSet::from([own]) }
+impl VoteTally {
+    pub(crate) fn with_own_vote(own_id: ReplicaId) -> Self {
+        Self { granted: BTreeSet::from([own_id]) }
     }
 
     pub(crate) fn grant(&mut self, voter: ReplicaId) {
@@ -31,25 +30,25 @@
     }
 }
 
-/// The promise of one term's vote.
+/// The vote this replica granted last.
 #[derive(Debug, Default)]
-pub(crate) struct Vote {
+pub(crate) struct VoteRecord {
     term: Term,
     candidate: Option<ReplicaId>,
 }
 
-impl Vote {
-    pub(crate) fn may_give(&self, term: Term, candidate: ReplicaId) -> bool {
+impl VoteRecord {
+    pub(crate) fn can_grant(&self, term: Term, candidate: ReplicaId) -> bool {
         self.term < term || self.candidate == Some(candidate)
     }
 
-    pub(crate) fn give(&mut self, term: Term, candidate: ReplicaId) {
+    pub(crate) fn grant(&mut self, term: Term, candidate: ReplicaId) {
         self.term = term;
         self.candidate = Some(candidate);
     }
 }
 
-/// A point between one and two election timeouts from now, so that replicas seldom stand together.
-pub(crate) fn random_deadline(source: &mut ChaCha8Rng, timeout: Duration, now: Timestamp) -> Timestamp {
-    now + timeout + timeout.mul_f64(source.random::<f64>())
+/// Random deadline between one and two timeouts from now, which makes split votes unlikely.
+pub(crate) fn random_election_deadline(rng: &mut ChaCha8Rng, timeout: Duration, now: Timestamp) -> Timestamp {
+    now + timeout + timeout.mul_f64(rng.random::<f64>())
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,12 +1,11 @@
-//! A replicated log with leader, term and majority commit, for replicas that keep nothing on disk.
+//! Raft for replicas without durable storage.
 //!
-//! The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, leader lease, learners,
-//! single-step membership change and leadership transfer. It differs in one point, which diskless machines
-//! force: a replica's identity includes the incarnation of its process. A process that restarts has forgotten
-//! its votes and its log, so it is another replica; it joins as a learner and can't vote under its old
-//! identity, and so can't break a promise it no longer remembers.
+//! Implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, leader lease, learners, single-server
+//! membership changes and leadership transfer. Since nothing is persisted, a replica's identity includes the
+//! incarnation of its process: a restarted process has lost its votes and its log, so it joins as a new replica,
+//! as a learner, and can't vote twice in a term.
 //!
-//! Nothing here reads a clock or a socket. The driver passes time and messages in and carries [`Action`]s out.
+//! The crate does no I/O and reads no clock. The driver passes in time and messages and carries out [`Action`]s.
 
 mod configuration;
 mod election;
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory.
+//! The in-memory log.
 
 use std::collections::VecDeque;
 
@@ -6,25 +6,25 @@
 
 use crate::Configuration;
 
-/// Position in a log, from 1; 0 stands for the empty log.
+/// Position in a log, starting at 1; 0 is the position before the first entry.
 pub type LogIndex = u64;
 
-/// A leader's reign; the fencing number of everything that a leader orders.
+/// Election term, which also serves as fencing token.
 pub type Term = u64;
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Payload {
-    /// Placed by a new leader to commit what earlier leaders left.
+    /// No-op that a new leader appends to commit the entries of earlier terms.
     LeaderStarted,
-    /// A change of the state machine, opaque here.
+    /// Encoded command for the state machine; opaque to this crate.
     Command(Bytes),
     /// A new configuration of the group.
     Configuration(Configuration),
 }
 
 impl Payload {
-    /// Size for the limits on a message, in bytes.
+    /// Size in bytes that counts towards message limits.
     pub(crate) fn size(&self) -> usize {
         match self {
             Payload::Command(bytes) => bytes.len(),
@@ -33,18 +33,17 @@
     }
 }
 
-/// One entry of the log.
+/// An entry of the log.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEntry {
-    /// Position.
     pub index: LogIndex,
-    /// Term of the leader that placed it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Content.
     pub payload: Payload,
 }
 
-/// Entries after a base. What lies before the base is in the state machine only.
+/// Entries after `base_index`. Entries up to it were compacted and exist only in the state machine.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Log {
     base_index: LogIndex,
@@ -54,7 +53,7 @@
 }
 
 impl Log {
-    pub(crate) fn starting_with(configuration: Configuration) -> Self {
+    pub(crate) fn with_configuration(configuration: Configuration) -> Self {
         Self { base_configuration: configuration, ..Self::default() }
     }
 
@@ -88,7 +87,7 @@
         index
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all later ones.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let kept = index.saturating_sub(self.base_index + 1);
         self.entries.truncate(usize::try_from(kept).unwrap_or(usize::MAX));
@@ -99,7 +98,7 @@
         self.entries.push_back(entry);
     }
 
-    /// The configuration in force at `index`: the latest at or before it.
+    /// The latest configuration at or before `index`.
     pub(crate) fn configuration_at(&self, index: LogIndex) -> &Configuration {
         let up_to_index = self.entries.iter().rev().filter(|entry| entry.index <= index);
         let mut configurations = up_to_index.filter_map(|entry| match &entry.payload {
@@ -109,13 +108,13 @@
         configurations.next().unwrap_or(&self.base_configuration)
     }
 
-    /// Index of the latest configuration entry, 0 where only the base has one.
+    /// Index of the latest configuration entry; 0 if there is none after the base.
     pub(crate) fn latest_configuration_index(&self) -> LogIndex {
         let is_configuration = |entry: &&LogEntry| matches!(entry.payload, Payload::Configuration(_));
         self.entries.iter().rev().find(is_configuration).map_or(0, |entry| entry.index)
     }
 
-    /// Entries from `start`, within the limits; at least one where there is one.
+    /// Entries from `start` within the limits, but at least one if there is any.
     pub(crate) fn slice(&self, start: LogIndex, max_entries: usize, max_bytes: usize) -> Vec<LogEntry> {
         let offset = start.saturating_sub(self.base_index + 1);
         let mut bytes = 0;
@@ -131,7 +130,7 @@
         slice
     }
 
-    /// Drops entries up to and including `index`, which the state machine must have applied.
+    /// Removes entries up to and including `index`, which the state machine must have applied.
     pub(crate) fn compact(&mut self, index: LogIndex) {
         if index <= self.base_index {
             return;
@@ -145,7 +144,7 @@
         self.base_configuration = configuration;
     }
 
-    /// Begins anew from a snapshot.
+    /// Replaces the log by the position of a snapshot.
     pub(crate) fn reset(&mut self, index: LogIndex, term: Term, configuration: Configuration) {
         self.entries.clear();
         self.base_index = index;
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,117 +1,114 @@
-//! Messages between replicas of one group.
+//! Messages between the replicas of a group.
 
 use bytes::Bytes;
 
 use crate::{Configuration, LogEntry, LogIndex, Term};
 
 /// A message from one replica to another.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Asks for a vote, or whether a vote would be given.
+    /// Requests a vote or a pre-vote.
     VoteRequest(VoteRequest),
-    /// Answers `VoteRequest`.
+    /// Reply to `VoteRequest`.
     VoteReply(VoteReply),
-    /// Carries entries, or none as a heartbeat.
+    /// Log entries from the leader; without entries, a heartbeat.
     AppendEntries(AppendEntries),
-    /// Answers `AppendEntries` and `InstallSnapshot`.
+    /// Reply to `AppendEntries` and `InstallSnapshot`.
     AppendReply(AppendReply),
-    /// Carries the whole state to a replica that is too far behind for entries.
+    /// Snapshot for a replica that needs entries already removed from the leader's log.
     InstallSnapshot(InstallSnapshot),
-    /// Tells a follower to stand for election at once: leadership transfer.
-    TimeoutNow {
-        /// The leader's term.
-        term: Term,
-    },
-    /// Tells a replica that it was removed from the group.
+    /// Tells a follower to start an election at once, for leadership transfer.
+    TimeoutNow { term: Term },
+    /// Tells a replica that it has been removed from the group.
     NotMember {
-        /// The sender's term.
         term: Term,
-        /// End of the removed replica's log, as its request for a vote gave it.
+        /// `last_index` of the vote request that this message replies to.
         last_index: LogIndex,
     },
 }
 
-/// A request for a vote.
+/// A request for a vote or a pre-vote.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoteRequest {
-    /// The term that the candidate stands for.
+    /// Term of the election.
     pub term: Term,
-    /// End of the candidate's log.
+    /// Index of the candidate's last entry.
     pub last_index: LogIndex,
     /// Term of the candidate's last entry.
     pub last_term: Term,
-    /// Only asks; binds nobody.
+    /// A pre-vote asks whether a vote would be granted and does not bind the voter.
     pub is_pre_vote: bool,
-    /// The leader itself asked for this election, so a live leader is no reason to refuse.
+    /// The leader requested this election, so voters grant it even while they have a live leader.
     pub is_transfer: bool,
 }
 
-/// The answer to a request for a vote.
+/// The reply to a vote request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoteReply {
-    /// The term that the candidate stands for where granted, else the voter's own.
+    /// Term of the election if granted, otherwise the voter's current term.
     pub term: Term,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     pub is_granted: bool,
-    /// Whether only a pre-vote was asked for.
+    /// Whether the request was for a pre-vote.
     pub is_pre_vote: bool,
 }
 
-/// Entries from a leader.
+/// Log entries from a leader.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppendEntries {
-    /// The leader's term.
     pub term: Term,
-    /// Index before the first entry.
+    /// Index of the entry preceding `entries`.
     pub previous_index: LogIndex,
-    /// Term at `previous_index`.
+    /// Term of the entry at `previous_index`.
     pub previous_term: Term,
-    /// Where the receiver was added to the group, as the leader sees it; comes back in the reply.
+    /// Index at which the receiver was added to the group; echoed in the reply.
     pub membership: LogIndex,
-    /// How far the leader knows the log to be committed.
+    /// The leader's commit index.
     pub committed: LogIndex,
-    /// When the leader sent this, on its own clock; comes back in the reply and carries the leader's lease.
+    /// Send time by the leader's clock; echoed in the reply, where it renews the leader's lease.
     pub sent_at_micros: u64,
-    /// The entries.
     pub entries: Vec<LogEntry>,
 }
 
-/// The answer to entries or a snapshot.
+/// The reply to `AppendEntries` or `InstallSnapshot`.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppendReply {
     /// The follower's term.
     pub term: Term,
-    /// Whether the entries fit.
+    /// Whether the entries or the snapshot were accepted.
     pub is_success: bool,
-    /// On success how far the follower's log equals the leader's; otherwise where to try next.
+    /// On success, the index up to which the logs match; otherwise a hint for the next attempt.
     pub match_index: LogIndex,
-    /// The message's `membership`.
+    /// Echoed from the request.
     pub membership: LogIndex,
-    /// The message's `sent_at_micros`.
+    /// Echoed from the request.
     pub sent_at_micros: u64,
 }
 
-/// A whole state from a leader.
+/// A snapshot of the state machine from a leader.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstallSnapshot {
-    /// The leader's term.
     pub term: Term,
-    /// Index up to which the state holds everything.
+    /// Index of the last entry that the snapshot includes.
     pub index: LogIndex,
-    /// Term at `index`.
+    /// Term of the entry at `index`.
     pub index_term: Term,
-    /// Configuration at `index`.
+    /// Configuration in force at `index`.
     pub configuration: Configuration,
-    /// Where the receiver was added to the group, as the leader sees it.
+    /// Index at which the receiver was added to the group; echoed in the reply.
     pub membership: LogIndex,
-    /// When the leader sent this, on its own clock.
+    /// Send time by the leader's clock; echoed in the reply.
     pub sent_at_micros: u64,
-    /// The state, opaque here.
+    /// Encoded state; opaque to this crate.
     pub data: Bytes,
 }
 
 impl Message {
-    /// The sender's term.
+    /// The term that the message carries: the sender's, or that of the election for vote messages.
     pub fn term(&self) -> Term {
         match self {
             Message::VoteRequest(request) => request.term,
--- a/crates/replication/src/placement.rs
+++ b/crates/replication/src/placement.rs
@@ -1,34 +1,35 @@
-//! Which nodes hold the replicas of a group.
+//! Placement of a group's replicas on nodes.
 
 use sumacdrift_types::{ZoneName, rendezvous_order};
 
 use crate::ReplicaId;
 
-/// A life that could hold a replica.
+/// A process that may host a replica, and its zone.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// The life.
     pub replica: ReplicaId,
-    /// Its zone.
     pub zone: ZoneName,
 }
 
-/// Chooses up to `count` candidates for a group, in different zones as far as there are any.
+/// Chooses up to `count` candidates for a group, spread evenly over zones.
 ///
-/// `present` are members that stay; their zones count as taken. The order is by rendezvous hashing of the node,
-/// not of its life, so that a node that restarts gets back the groups that it had.
+/// `present` are the remaining members; they count towards their zones, and their nodes are not chosen again.
+/// Candidates are ordered by rendezvous hashing of the node, not of its incarnation, so that a restarted node gets
+/// the same groups.
 pub fn spread(group: u64, candidates: &[Candidate], present: &[Candidate], count: usize) -> Vec<Candidate> {
     let key = group.to_le_bytes();
-    let mut ordered = rendezvous_order(&key, candidates, |one| one.replica.node.0.to_le_bytes().to_vec());
-    ordered.retain(|candidate| present.iter().all(|member| member.replica.node != candidate.replica.node));
+    let mut ranked =
+        rendezvous_order(&key, candidates, |candidate| candidate.replica.node.0.to_le_bytes().to_vec());
+    ranked.retain(|candidate| present.iter().all(|member| member.replica.node != candidate.replica.node));
     let mut chosen: Vec<Candidate> = Vec::new();
-    while chosen.len() < count && !ordered.is_empty() {
+    while chosen.len() < count && !ranked.is_empty() {
         let members_in =
             |zone: &ZoneName| present.iter().chain(&chosen).filter(|member| member.zone == *zone).count();
-        let fewest = ordered.iter().map(|candidate| members_in(&candidate.zone)).min().unwrap_or(0);
-        let next = ordered.iter().position(|candidate| members_in(&candidate.zone) == fewest);
-        let Some(next) = next else { break };
-        chosen.push(ordered.remove(next));
+        let fewest = ranked.iter().map(|candidate| members_in(&candidate.zone)).min().unwrap_or(0);
+        let position = ranked.iter().position(|candidate| members_in(&candidate.zone) == fewest);
+        let Some(position) = position else { break };
+        chosen.push(ranked.remove(position));
     }
     chosen
 }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of its followers.
+//! Replication progress of a leader's followers.
 
 use std::collections::BTreeMap;
 
@@ -6,44 +6,43 @@
 
 use crate::{Configuration, LogIndex, ReplicaId};
 
-/// What a leader knows of one follower.
+/// Replication progress of one follower.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Progress {
-    /// Where the follower was added; replies of an earlier membership are not about this one.
+    /// Index at which the follower was added; replies with another value belong to an earlier membership.
     pub(crate) membership: LogIndex,
-    /// How far the follower's log is known to equal the leader's.
+    /// Highest index up to which the follower's log is known to match the leader's.
     pub(crate) match_index: LogIndex,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub(crate) next_index: LogIndex,
-    /// When the latest acknowledged message was sent.
+    /// Send time of the latest acknowledged message.
     pub(crate) acknowledged: Timestamp,
-    /// When something was last sent.
     pub(crate) last_sent: Timestamp,
-    /// When a snapshot was sent that is not acknowledged yet.
+    /// When a snapshot was sent that is not yet acknowledged.
     pub(crate) snapshot_sent: Option<Timestamp>,
 }
 
-/// All followers of a leader.
+/// Progress of all followers of a leader.
 #[derive(Debug, Default)]
 pub(crate) struct Followers {
     by_replica: BTreeMap<ReplicaId, Progress>,
 }
 
 impl Followers {
-    /// Follows the configuration: new members start at `next_index`, gone ones are dropped.
-    pub(crate) fn follow(
+    /// Adds new members of the configuration, starting at `next_index`, and removes former members.
+    pub(crate) fn update_members(
         &mut self,
         configuration: &Configuration,
-        own: ReplicaId,
+        own_id: ReplicaId,
         next_index: LogIndex,
         now: Timestamp,
     ) {
         self.by_replica.retain(|replica, progress| {
-            configuration.contains(*replica) && configuration.added_at(*replica) == progress.membership
+            configuration.contains(*replica) && configuration.added_index(*replica) == progress.membership
         });
-        for replica in configuration.members().filter(|replica| *replica != own) {
+        for replica in configuration.members().filter(|replica| *replica != own_id) {
             self.by_replica.entry(replica).or_insert(Progress {
-                membership: configuration.added_at(replica),
+                membership: configuration.added_index(replica),
                 match_index: 0,
                 next_index,
                 acknowledged: now,
@@ -65,36 +64,40 @@
         self.by_replica.keys().copied().collect()
     }
 
-    /// The highest index that a majority of voters holds, counting the leader's own log if it votes.
+    /// Highest index stored by a majority of voters, including the leader if it is a voter.
     pub(crate) fn majority_index(
         &self,
         configuration: &Configuration,
-        own: ReplicaId,
-        own_last: LogIndex,
+        own_id: ReplicaId,
+        own_last_index: LogIndex,
     ) -> LogIndex {
-        let index_of = |voter: &ReplicaId| match *voter == own {
-            true => own_last,
+        let index_of = |voter: &ReplicaId| match *voter == own_id {
+            true => own_last_index,
             false => self.get(*voter).map_or(0, |progress| progress.match_index),
         };
-        majority_value(configuration, index_of).unwrap_or(0)
+        majority_threshold(configuration, index_of).unwrap_or(0)
     }
 
-    /// The latest time at which a majority of voters still followed this leader.
-    pub(crate) fn majority_contact(
+    /// Latest send time of messages that a majority of voters has acknowledged; the leader itself counts as `now`.
+    pub(crate) fn last_majority_contact(
         &self,
         configuration: &Configuration,
-        own: ReplicaId,
+        own_id: ReplicaId,
         now: Timestamp,
     ) -> Timestamp {
-        let contact_of = |voter: &ReplicaId| match *voter == own {
+        let contact_of = |voter: &ReplicaId| match *voter == own_id {
             true => now,
             false => self.get(*voter).map_or(Timestamp::default(), |progress| progress.acknowledged),
         };
-        majority_value(configuration, contact_of).unwrap_or_default()
+        majority_threshold(configuration, contact_of).unwrap_or_default()
     }
 }
 
-fn majority_value<V: Ord>(configuration: &Configuration, value_of: impl Fn(&ReplicaId) -> V) -> Option<V> {
+/// The highest value that a majority of voters reaches.
+fn majority_threshold<V: Ord>(
+    configuration: &Configuration,
+    value_of: impl Fn(&ReplicaId) -> V,
+) -> Option<V> {
     let mut values: Vec<V> = configuration.voters.iter().map(value_of).collect();
     values.sort_by(|left, right| right.cmp(left));
     values.into_iter().nth(configuration.majority() - 1)
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of a group.
+//! A replica of a group.
 
 mod appending;
 mod election;
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_types::Timestamp;
 
-use crate::election::{Ballot, Vote, random_deadline};
+use crate::election::{VoteRecord, VoteTally, random_election_deadline};
 use crate::log::Log;
 use crate::progress::Followers;
 use crate::{
@@ -16,154 +16,147 @@
     Message, Payload, ReplicaId, ReplicaSettings, Term, VoteReply,
 };
 
-/// A snapshot that is not acknowledged is sent again after this many election timeouts.
+/// Election timeouts after which an unacknowledged snapshot is sent again.
 const SNAPSHOT_RETRY_TIMEOUTS: u32 = 4;
 
-/// What a replica is at the moment.
+/// Current role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one to be elected.
     Follower,
-    /// Stands for election.
+    /// Has started an election.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
-    /// Was removed from the group and may be dropped.
+    /// Was removed from the group; the driver may drop it.
     Removed,
 }
 
-/// What the driver must do, in order.
+/// Work for the driver, to be done in order.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message.
-    Send {
-        /// To whom.
-        to: ReplicaId,
-        /// What.
-        message: Message,
-    },
+    /// Send a message to a replica.
+    Send { to: ReplicaId, message: Message },
     /// Apply a committed entry.
     Apply(LogEntry),
-    /// Replace the state machine by a snapshot.
+    /// Replace the state machine by this snapshot.
     Restore(Bytes),
-    /// Take a snapshot of the state machine as it is now and pass it to [`Replica::send_snapshot`].
+    /// Take a snapshot of the state machine's current state and pass it to [`Replica::send_snapshot`].
     TakeSnapshot {
-        /// Who needs it.
+        /// The follower that needs it.
         to: ReplicaId,
     },
-    /// This replica leads from now on. Everything committed before has been applied.
-    BecameLeader {
-        /// Its term.
-        term: Term,
-    },
-    /// This replica no longer leads; what it proposed may or may not be committed.
+    /// This replica is now the leader. `Apply` actions for all entries committed so far precede this action.
+    BecameLeader { term: Term },
+    /// This replica is no longer the leader; its uncommitted proposals may or may not be committed later.
     LostLeadership,
 }
 
-/// A proposal was not taken.
+/// Why a proposal was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, if the hint knows it.
-    #[error("this replica does not lead")]
+    /// Another replica is the leader, or leadership is being transferred. The hint is `None` if the leader is unknown.
+    #[error("this replica is not the leader")]
     NotLeader(Option<ReplicaId>),
-    /// An earlier change of the configuration is not committed yet.
-    #[error("an earlier membership change is not committed yet")]
+    /// An earlier membership change, or the first entry of this leader, is not yet committed.
+    #[error("an earlier membership change is not yet committed")]
     ChangePending,
-    /// The change would change nothing or remove the last voter.
-    #[error("the membership change does not apply")]
+    /// The change has no effect or would remove the last voter.
+    #[error("the membership change has no effect or would remove the last voter")]
     NoChange,
 }
 
-/// One replica of one group.
+/// A replica of a group.
 #[derive(Debug)]
 pub struct Replica {
-    own: ReplicaId,
+    own_id: ReplicaId,
     settings: ReplicaSettings,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     role: Role,
     term: Term,
-    vote: Vote,
+    vote: VoteRecord,
     log: Log,
     committed: LogIndex,
     leader: Option<ReplicaId>,
-    /// When a message of the current leader last arrived.
-    leader_heard: Timestamp,
+    /// Arrival time of the latest message from a leader.
+    last_leader_contact: Timestamp,
     election_deadline: Timestamp,
-    pre_ballot: Option<Ballot>,
-    ballot: Option<Ballot>,
+    pre_votes: Option<VoteTally>,
+    votes: Option<VoteTally>,
     followers: Followers,
-    /// Whether an entry of the leader's own term is committed.
+    /// Whether an entry of this leader's own term has been committed.
     is_established: bool,
-    transfer_to: Option<ReplicaId>,
-    /// When an unanswered transfer is given up.
+    transfer_target: Option<ReplicaId>,
+    /// When a pending leadership transfer is cancelled.
     transfer_deadline: Timestamp,
     actions: Vec<Action>,
 }
 
 impl Replica {
-    /// A replica of a new group, whose founders are the configuration's voters.
+    /// Creates an initial replica of a new group with this configuration.
     pub fn found(
-        own: ReplicaId,
+        own_id: ReplicaId,
         configuration: Configuration,
         settings: ReplicaSettings,
         seed: u64,
         now: Timestamp,
     ) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let election_deadline = random_deadline(&mut random, settings.election_timeout, now);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let election_deadline = random_election_deadline(&mut rng, settings.election_timeout, now);
         Self {
-            own,
+            own_id,
             settings,
-            random,
+            rng,
             role: Role::Follower,
             term: 0,
-            vote: Vote::default(),
-            log: Log::starting_with(configuration),
+            vote: VoteRecord::default(),
+            log: Log::with_configuration(configuration),
             committed: 0,
             leader: None,
-            leader_heard: Timestamp::default(),
+            last_leader_contact: Timestamp::default(),
             election_deadline,
-            pre_ballot: None,
-            ballot: None,
+            pre_votes: None,
+            votes: None,
             followers: Followers::default(),
             is_established: false,
-            transfer_to: None,
+            transfer_target: None,
             transfer_deadline: Timestamp::default(),
             actions: Vec::new(),
         }
     }
 
-    /// A replica that knows nothing and waits for a leader to send it the log.
-    pub fn join(own: ReplicaId, settings: ReplicaSettings, seed: u64, now: Timestamp) -> Self {
-        Self::found(own, Configuration::default(), settings, seed, now)
+    /// Creates an empty replica that waits for a leader to send it the log.
+    pub fn join(own_id: ReplicaId, settings: ReplicaSettings, seed: u64, now: Timestamp) -> Self {
+        Self::found(own_id, Configuration::default(), settings, seed, now)
     }
 
-    /// What the replica is.
+    /// Current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The current term.
+    /// Current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Whom the replica takes for the leader.
+    /// The leader known to this replica.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The configuration in force.
+    /// The latest configuration in the log, committed or not.
     pub fn configuration(&self) -> &Configuration {
         self.log.configuration_at(self.log.last_index())
     }
 
-    /// How far the log is committed.
+    /// Commit index.
     pub fn committed(&self) -> LogIndex {
         self.committed
     }
 
-    /// End of the log, committed or not.
+    /// Index of the last entry, committed or not.
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
@@ -173,58 +166,59 @@
         self.log.payload_bytes()
     }
 
-    /// Whether this replica leads and has committed an entry of its own term, so that its state is current.
+    /// Whether this replica leads and has committed an entry of its own term, so that its state is up to date.
     pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.is_established
     }
 
-    /// Whether no other leader can have been elected by `now`, so that reading local state is safe.
+    /// Whether this replica holds the leader lease: no other leader can have been elected by `now`, so local reads
+    /// are linearizable.
     ///
-    /// A follower refuses elections for one election timeout after a leader's message, and the lease counts
-    /// from when the acknowledged message was sent, so it ends before any follower's refusal does. Clocks
-    /// need not agree; they must only run at about the same speed.
+    /// A follower rejects elections for one election timeout after receiving a leader's message. The lease is
+    /// counted from the sending of the acknowledged message and is shorter, so it ends first. Clocks need not
+    /// agree but must run at about the same rate.
     pub fn has_lease(&self, now: Timestamp) -> bool {
-        if !self.is_established_leader() || self.transfer_to.is_some() {
+        if !self.is_established_leader() || self.transfer_target.is_some() {
             return false;
         }
-        let contact = self.followers.majority_contact(self.configuration(), self.own, now);
-        now.since(contact) < self.settings.election_timeout.mul_f64(0.9)
+        let last_contact = self.followers.last_majority_contact(self.configuration(), self.own_id, now);
+        now.since(last_contact) < self.settings.election_timeout.mul_f64(0.9)
     }
 
-    /// Whether a follower's log is within `entries` of the leader's. One that has acknowledged nothing is not,
-    /// however short the log: it may not even exist.
+    /// Whether a follower's log is known to be at most `entries` behind the leader's. `false` for a follower that
+    /// has acknowledged nothing, even if the log is short.
     pub fn is_caught_up(&self, replica: ReplicaId, entries: u64) -> bool {
         let Some(progress) = self.followers.get(replica) else { return false };
         progress.match_index > 0 && progress.match_index + entries >= self.log.last_index()
     }
 
-    /// Takes the actions that have come together.
+    /// Takes the actions accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Proposes changes of the state machine.
+    /// Appends commands to the log and replicates them.
     pub fn propose(
         &mut self,
         commands: impl IntoIterator<Item = Bytes>,
         now: Timestamp,
     ) -> Result<(), ProposeError> {
-        self.check_leads()?;
+        self.ensure_leader()?;
         for command in commands {
             self.log.append(self.term, Payload::Command(command));
         }
         self.advance_commit(now);
-        self.send_to_all(now);
+        self.send_entries_to_all(now);
         Ok(())
     }
 
-    /// Proposes one step of membership change.
+    /// Proposes a membership change.
     pub fn change_configuration(
         &mut self,
         change: ConfigurationChange,
         now: Timestamp,
     ) -> Result<(), ProposeError> {
-        self.check_leads()?;
+        self.ensure_leader()?;
         if !self.is_established || self.log.latest_configuration_index() > self.committed {
             return Err(ProposeError::ChangePending);
         }
@@ -232,13 +226,13 @@
             return Err(ProposeError::NoChange);
         };
         self.log.append(self.term, Payload::Configuration(next));
-        self.follow_configuration(now);
+        self.update_followers(now);
         self.advance_commit(now);
-        self.send_to_all(now);
+        self.send_entries_to_all(now);
         Ok(())
     }
 
-    /// Hands leadership to a voter, preferably one that is caught up. Returns whom, if there is one.
+    /// Starts a leadership transfer to the eligible voter with the longest matching log and returns that voter.
     pub fn transfer_leadership(
         &mut self,
         eligible: &dyn Fn(ReplicaId) -> bool,
@@ -248,17 +242,18 @@
             return None;
         }
         let others = self.configuration().voters.iter().copied();
-        let candidates = others.filter(|voter| *voter != self.own && eligible(*voter));
-        let match_index = |voter: &ReplicaId| self.followers.get(*voter).map_or(0, |one| one.match_index);
+        let candidates = others.filter(|voter| *voter != self.own_id && eligible(*voter));
+        let match_index =
+            |voter: &ReplicaId| self.followers.get(*voter).map_or(0, |progress| progress.match_index);
         let target = candidates.max_by_key(match_index)?;
-        self.transfer_to = Some(target);
+        self.transfer_target = Some(target);
         self.transfer_deadline = now + self.settings.election_timeout;
         self.try_transfer();
         Some(target)
     }
 
-    /// Passes on a snapshot that was asked for by [`Action::TakeSnapshot`]; it holds everything up to and
-    /// including the entry `index`, the last that the driver applied.
+    /// Sends a snapshot requested by [`Action::TakeSnapshot`]. `index` is the last entry that the driver had applied
+    /// when it took the snapshot.
     pub fn send_snapshot(&mut self, to: ReplicaId, index: LogIndex, data: Bytes, now: Timestamp) {
         if self.role != Role::Leader {
             return;
@@ -269,7 +264,7 @@
             index,
             index_term,
             configuration: self.log.configuration_at(index).clone(),
-            membership: self.configuration().added_at(to),
+            membership: self.configuration().added_index(to),
             sent_at_micros: now.0,
             data,
         });
@@ -281,7 +276,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Sends heartbeats or starts an election if they are due. To be called periodically.
     pub fn tick(&mut self, now: Timestamp) {
         match self.role {
             Role::Leader => self.tick_leader(now),
@@ -295,8 +290,8 @@
         if self.role == Role::Removed {
             return;
         }
-        if !self.adopt_term(&message, now) {
-            self.refuse_stale(from, &message);
+        if !self.adopt_newer_term(&message, now) {
+            self.reject_stale(from, &message);
             return;
         }
         match message {
@@ -310,22 +305,22 @@
         }
     }
 
-    fn check_leads(&self) -> Result<(), ProposeError> {
-        if self.role != Role::Leader || self.transfer_to.is_some() {
-            return Err(ProposeError::NotLeader(self.leader.filter(|leader| *leader != self.own)));
+    fn ensure_leader(&self) -> Result<(), ProposeError> {
+        if self.role != Role::Leader || self.transfer_target.is_some() {
+            return Err(ProposeError::NotLeader(self.leader.filter(|leader| *leader != self.own_id)));
         }
         Ok(())
     }
 
     fn tick_leader(&mut self, now: Timestamp) {
-        let contact = self.followers.majority_contact(self.configuration(), self.own, now);
-        if now.since(contact) > self.settings.election_timeout * 2 {
-            // Cut off from the majority: another leader may have been elected by now.
+        let last_contact = self.followers.last_majority_contact(self.configuration(), self.own_id, now);
+        if now.since(last_contact) > self.settings.election_timeout * 2 {
+            // Check-quorum: without contact to a majority, another leader may have been elected.
             self.become_follower(self.term, None, now);
             return;
         }
         if now >= self.transfer_deadline {
-            self.transfer_to = None;
+            self.transfer_target = None;
         }
         for replica in self.followers.replicas() {
             let last_sent = self.followers.get(replica).map_or(now, |progress| progress.last_sent);
@@ -340,13 +335,13 @@
             return;
         }
         self.reset_election_deadline(now);
-        if self.configuration().is_voter(self.own) {
+        if self.configuration().is_voter(self.own_id) {
             self.start_pre_vote(now);
         }
     }
 
-    /// Takes over a newer term; `false` where the message is from an older one.
-    fn adopt_term(&mut self, message: &Message, now: Timestamp) -> bool {
+    /// Adopts the message's term if it is newer; `false` if the message is from an older term.
+    fn adopt_newer_term(&mut self, message: &Message, now: Timestamp) -> bool {
         let term = message.term();
         if term < self.term {
             return false;
@@ -355,17 +350,17 @@
             return true;
         }
         match message {
-            // A pre-vote asks about a term that nobody has entered yet, and so does its granting.
+            // Pre-vote requests and granted pre-votes carry a term that has not started yet.
             Message::VoteRequest(request) if request.is_pre_vote => {}
             Message::VoteReply(reply) if reply.is_pre_vote && reply.is_granted => {}
-            // While a leader is alive, a candidate can't force a new term on its followers.
-            Message::VoteRequest(request) if self.hears_leader(now) && !request.is_transfer => {}
+            // While the leader is alive, a candidate must not advance the term of its followers.
+            Message::VoteRequest(request) if self.has_recent_leader(now) && !request.is_transfer => {}
             _ => self.become_follower(term, None, now),
         }
         true
     }
 
-    fn refuse_stale(&mut self, from: ReplicaId, message: &Message) {
+    fn reject_stale(&mut self, from: ReplicaId, message: &Message) {
         let term = self.term;
         let reply = match message {
             Message::VoteRequest(request) => {
@@ -386,29 +381,29 @@
         self.send(from, reply);
     }
 
-    fn hears_leader(&self, now: Timestamp) -> bool {
-        let is_fresh = now.since(self.leader_heard) < self.settings.election_timeout;
+    fn has_recent_leader(&self, now: Timestamp) -> bool {
+        let is_fresh = now.since(self.last_leader_contact) < self.settings.election_timeout;
         self.role == Role::Leader || (self.leader.is_some() && is_fresh)
     }
 
-    fn follow_configuration(&mut self, now: Timestamp) {
+    fn update_followers(&mut self, now: Timestamp) {
         let configuration = self.configuration().clone();
         let next_index = self.log.last_index() + 1;
-        self.followers.follow(&configuration, self.own, next_index, now);
+        self.followers.update_members(&configuration, self.own_id, next_index, now);
     }
 
-    fn leave_if_removed(&mut self, now: Timestamp) {
-        let is_settled = self.log.latest_configuration_index() <= self.committed;
-        if !is_settled || self.configuration().contains(self.own) {
+    fn leave_group_if_removed(&mut self, now: Timestamp) {
+        let is_configuration_committed = self.log.latest_configuration_index() <= self.committed;
+        if !is_configuration_committed || self.configuration().contains(self.own_id) {
             return;
         }
-        self.send_to_all(now);
+        self.send_entries_to_all(now);
         self.actions.push(Action::LostLeadership);
         self.role = Role::Removed;
     }
 
     fn receive_snapshot(&mut self, from: ReplicaId, snapshot: InstallSnapshot, now: Timestamp) {
-        self.accept_leader(from, now);
+        self.follow_leader(from, now);
         if snapshot.index > self.committed {
             self.log.reset(snapshot.index, snapshot.index_term, snapshot.configuration);
             self.committed = snapshot.index;
@@ -425,13 +420,14 @@
     }
 
     fn receive_timeout_now(&mut self, now: Timestamp) {
-        if self.configuration().is_voter(self.own) && self.role != Role::Leader {
+        if self.configuration().is_voter(self.own_id) && self.role != Role::Leader {
             self.start_election(true, now);
         }
     }
 
     fn receive_not_member(&mut self, last_index: LogIndex) {
-        // Whoever received entries since it asked was added again; its leader counts on what it holds.
+        // A replica that has received entries since its vote request was added again, and its leader may count
+        // its acknowledgements.
         if self.role == Role::Leader || self.log.last_index() != last_index {
             return;
         }
@@ -439,7 +435,7 @@
     }
 
     fn try_transfer(&mut self) {
-        let Some(target) = self.transfer_to else { return };
+        let Some(target) = self.transfer_target else { return };
         if self.is_caught_up(target, 0) {
             self.send(target, Message::TimeoutNow { term: self.term });
         }
@@ -450,6 +446,6 @@
     }
 
     fn reset_election_deadline(&mut self, now: Timestamp) {
-        self.election_deadline = random_deadline(&mut self.random, self.settings.election_timeout, now);
+        self.election_deadline = random_election_deadline(&mut self.rng, self.settings.election_timeout, now);
     }
 }
--- a/crates/replication/src/replica/appending.rs
+++ b/crates/replication/src/replica/appending.rs
@@ -1,4 +1,4 @@
-//! Entries on their way: sending them, storing them, and learning what a majority holds.
+//! Log replication: sending, storing and committing entries.
 
 use sumacdrift_mutants::{Rule, is_broken};
 use sumacdrift_types::Timestamp;
@@ -8,9 +8,9 @@
 
 impl Replica {
     pub(super) fn receive_append(&mut self, from: ReplicaId, append: AppendEntries, now: Timestamp) {
-        self.accept_leader(from, now);
+        self.follow_leader(from, now);
         let (membership, sent_at_micros) = (append.membership, append.sent_at_micros);
-        let match_index = self.store(append);
+        let match_index = self.append_from_leader(append);
         let is_success = match_index.is_ok();
         let match_index = match_index.unwrap_or_else(|hint| hint);
         let term = self.term;
@@ -18,19 +18,20 @@
         self.send(from, Message::AppendReply(reply));
     }
 
-    pub(super) fn accept_leader(&mut self, leader: ReplicaId, now: Timestamp) {
+    pub(super) fn follow_leader(&mut self, leader: ReplicaId, now: Timestamp) {
         if self.role != Role::Follower || self.leader != Some(leader) {
             self.become_follower(self.term, Some(leader), now);
         }
-        self.leader_heard = now;
+        self.last_leader_contact = now;
         self.reset_election_deadline(now);
     }
 
-    /// Stores entries. On success returns how far the logs are equal, otherwise where the leader should try.
-    pub(super) fn store(&mut self, append: AppendEntries) -> Result<LogIndex, LogIndex> {
+    /// Appends entries from the leader. Returns the index up to which the logs match, or a hint for the leader's next
+    /// attempt as error.
+    pub(super) fn append_from_leader(&mut self, append: AppendEntries) -> Result<LogIndex, LogIndex> {
         let last_new = append.previous_index + append.entries.len() as u64;
         if append.previous_index < self.log.base_index() {
-            // The base is committed, so everything up to it equals the leader's log already.
+            // Entries up to the base are committed and therefore match the leader's log.
             let base = self.log.base_index();
             let entries: Vec<LogEntry> =
                 append.entries.into_iter().filter(|entry| entry.index > base).collect();
@@ -39,7 +40,7 @@
             return Ok(last_new.max(base));
         }
         if self.log.term_at(append.previous_index) != Some(append.previous_term) {
-            return Err(self.retry_hint(append.previous_index));
+            return Err(self.conflict_hint(append.previous_index));
         }
         self.store_entries(append.entries);
         self.commit_up_to(append.committed.min(last_new));
@@ -57,7 +58,7 @@
         }
     }
 
-    pub(super) fn retry_hint(&self, previous_index: LogIndex) -> LogIndex {
+    pub(super) fn conflict_hint(&self, previous_index: LogIndex) -> LogIndex {
         previous_index.saturating_sub(1).min(self.log.last_index()).max(self.committed)
     }
 
@@ -73,9 +74,9 @@
     }
 
     pub(super) fn compact(&mut self) {
-        let keep = self.settings.kept_entries;
-        if self.committed > self.log.base_index() + 2 * keep {
-            self.log.compact(self.committed - keep);
+        let retained = self.settings.retained_entries;
+        if self.committed > self.log.base_index() + 2 * retained {
+            self.log.compact(self.committed - retained);
         }
     }
 
@@ -98,22 +99,22 @@
             progress.next_index = next.min(last_index + 1);
         }
         let is_behind = progress.next_index <= last_index;
-        // A follower that lacks what it acknowledged can't be helped by sending the same again at once.
-        let is_stuck = !reply.is_success && reply.match_index < progress.match_index;
+        // Sending again at once does not help a follower that lacks entries it has acknowledged.
+        let has_lost_acknowledged_entries = !reply.is_success && reply.match_index < progress.match_index;
         self.advance_commit(now);
-        if !is_stuck && (is_behind || !reply.is_success) {
+        if !has_lost_acknowledged_entries && (is_behind || !reply.is_success) {
             self.send_entries(from, now);
         }
         self.try_transfer();
     }
 
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
-        let own_last = self.log.last_index();
+        let own_last_index = self.log.last_index();
         let index = match is_broken(Rule::MajorityBeforeAcknowledgement) {
-            true => own_last,
-            false => self.followers.majority_index(self.configuration(), self.own, own_last),
+            true => own_last_index,
+            false => self.followers.majority_index(self.configuration(), self.own_id, own_last_index),
         };
-        // Only an entry of one's own term commits by counting; it commits all before it.
+        // Only entries of the current term are committed by counting replicas; earlier ones are committed with them.
         if index <= self.committed || self.log.term_at(index) != Some(self.term) {
             return;
         }
@@ -122,19 +123,19 @@
             self.is_established = true;
             self.actions.push(Action::BecameLeader { term: self.term });
         }
-        self.leave_if_removed(now);
+        self.leave_group_if_removed(now);
     }
 
-    pub(super) fn send_to_all(&mut self, now: Timestamp) {
+    pub(super) fn send_entries_to_all(&mut self, now: Timestamp) {
         for replica in self.followers.replicas() {
             self.send_entries(replica, now);
         }
     }
 
-    /// Sends what a follower lacks, assuming that it arrives; a refusal corrects the assumption.
+    /// Sends the entries a follower lacks and advances `next_index` optimistically; a rejection resets it.
     pub(super) fn send_entries(&mut self, to: ReplicaId, now: Timestamp) {
         let Some(progress) = self.followers.get(to).copied() else { return };
-        if self.is_snapshot_under_way(progress.snapshot_sent, now) {
+        if self.is_snapshot_in_flight(progress.snapshot_sent, now) {
             return;
         }
         if progress.next_index <= self.log.base_index() {
@@ -150,12 +151,12 @@
         }
     }
 
-    pub(super) fn is_snapshot_under_way(&self, sent: Option<Timestamp>, now: Timestamp) -> bool {
+    pub(super) fn is_snapshot_in_flight(&self, sent: Option<Timestamp>, now: Timestamp) -> bool {
         let retry_after = self.settings.election_timeout * SNAPSHOT_RETRY_TIMEOUTS;
         sent.is_some_and(|sent| now.since(sent) < retry_after)
     }
 
-    /// Probes a follower from its known match, which also repairs entries that were lost on the way.
+    /// Sends a heartbeat starting at the follower's match index, which also retransmits lost entries.
     pub(super) fn send_heartbeat(&mut self, to: ReplicaId, now: Timestamp) {
         let Some(progress) = self.followers.get_mut(to) else { return };
         if progress.snapshot_sent.is_none() && progress.match_index > 0 {
@@ -177,7 +178,7 @@
             term: self.term,
             previous_index,
             previous_term,
-            membership: self.configuration().added_at(to),
+            membership: self.configuration().added_index(to),
             committed: self.committed,
             sent_at_micros: now.0,
             entries,
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -1,20 +1,21 @@
-//! Times and sizes of the replication protocol.
+//! Timing and size limits of the replication protocol.
 
 use std::time::Duration;
 
-/// Times and sizes of one replica.
+/// Timing and size limits of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaSettings {
-    /// A leader sends to each follower at least this often.
+    /// Longest time between two messages of the leader to a follower.
     pub heartbeat_interval: Duration,
-    /// Shortest silence after which a follower stands for election; also the length of the leader's lease.
+    /// Minimum time without a leader's message before a follower starts an election. The leader's lease is slightly
+    /// shorter.
     pub election_timeout: Duration,
-    /// Most entries in one message.
+    /// Maximum number of entries in a message.
     pub max_entries_in_message: usize,
-    /// Most payload bytes in one message; a single larger entry still travels.
+    /// Maximum payload bytes in a message; a single larger entry is still sent.
     pub max_bytes_in_message: usize,
-    /// Entries kept behind the commit point, so that a follower that lags a little needs no snapshot.
-    pub kept_entries: u64,
+    /// Committed entries retained in the log, so that a slightly lagging follower needs no snapshot.
+    pub retained_entries: u64,
 }
 
 impl Default for ReplicaSettings {
@@ -24,7 +25,7 @@
             election_timeout: Duration::from_millis(800),
             max_entries_in_message: 256,
             max_bytes_in_message: 1 << 20,
-            kept_entries: 1024,
+            retained_entries: 1024,
         }
     }
 }
--- a/crates/replication/tests/rules.rs
+++ b/crates/replication/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Rules whose breach hides in a whole fleet, tested on single replicas.
+//! Protocol invariants, checked on single replicas.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-fn id(node: u32) -> ReplicaId {
+fn replica_id(node: u32) -> ReplicaId {
     ReplicaId { node: NodeId(node), incarnation: Incarnation(1) }
 }
 
-fn replica(node: u32) -> Replica {
-    let voters = Configuration::of_voters([id(1), id(2), id(3)]);
-    Replica::found(id(node), voters, ReplicaSettings::default(), u64::from(node), START)
+fn new_replica(node: u32) -> Replica {
+    let voters = Configuration::of_voters([replica_id(1), replica_id(2), replica_id(3)]);
+    Replica::found(replica_id(node), voters, ReplicaSettings::default(), u64::from(node), START)
 }
 
 fn vote_request(term: u64) -> Message {
@@ -36,16 +36,16 @@
     })
 }
 
-/// Whether the replica just granted a vote.
-fn granted(replica: &mut Replica) -> bool {
+/// Whether the replica's pending actions grant a vote.
+fn has_granted_vote(replica: &mut Replica) -> bool {
     replica.take_actions().iter().any(|action| {
         matches!(action, Action::Send { message: Message::VoteReply(VoteReply { is_granted: true, .. }), .. })
     })
 }
 
-/// A replica that was elected and whose first entry is committed.
-fn leader(now: &mut Timestamp) -> Replica {
-    let mut leader = replica(1);
+/// Returns an elected leader whose first entry is committed, and advances `now` to the election.
+fn elected_leader(now: &mut Timestamp) -> Replica {
+    let mut leader = new_replica(1);
     while leader.role() != Role::Leader {
         *now = *now + Duration::from_millis(100);
         leader.tick(*now);
@@ -69,56 +69,56 @@
         membership: 0,
         sent_at_micros: sent.0,
     };
-    leader.receive(id(2), Message::AppendReply(reply), sent);
+    leader.receive(replica_id(2), Message::AppendReply(reply), sent);
     leader.take_actions();
 }
 
 #[test]
-fn a_replica_gives_one_vote_in_a_term() {
-    let mut voter = replica(3);
-    voter.receive(id(1), vote_request(5), START);
-    assert!(granted(&mut voter));
-    voter.receive(id(2), vote_request(5), START);
-    assert!(!granted(&mut voter), "a second candidate got the same term's vote");
-    voter.receive(id(1), vote_request(5), START);
-    assert!(granted(&mut voter), "the same candidate may ask again");
-    voter.receive(id(2), vote_request(6), START);
-    assert!(granted(&mut voter), "a later term is another vote");
+fn replica_grants_one_vote_per_term() {
+    let mut voter = new_replica(3);
+    voter.receive(replica_id(1), vote_request(5), START);
+    assert!(has_granted_vote(&mut voter));
+    voter.receive(replica_id(2), vote_request(5), START);
+    assert!(!has_granted_vote(&mut voter), "a second candidate was granted a vote in the same term");
+    voter.receive(replica_id(1), vote_request(5), START);
+    assert!(has_granted_vote(&mut voter), "the vote is granted again to the same candidate");
+    voter.receive(replica_id(2), vote_request(6), START);
+    assert!(has_granted_vote(&mut voter), "a new term has a new vote");
 }
 
 #[test]
-fn a_follower_that_hears_its_leader_refuses_candidates() {
-    let mut follower = replica(3);
-    follower.receive(id(1), heartbeat(4, START), START);
+fn follower_of_live_leader_rejects_candidates() {
+    let mut follower = new_replica(3);
+    follower.receive(replica_id(1), heartbeat(4, START), START);
     follower.take_actions();
     let soon = START + Duration::from_millis(100);
-    follower.receive(id(2), vote_request(9), soon);
-    assert!(!granted(&mut follower));
-    assert_eq!(follower.term(), 4, "a candidate must not force its term on a live group");
+    follower.receive(replica_id(2), vote_request(9), soon);
+    assert!(!has_granted_vote(&mut follower));
+    assert_eq!(follower.term(), 4, "a candidate must not advance the term while the leader is alive");
     let late = START + Duration::from_secs(2);
-    follower.receive(id(2), vote_request(9), late);
-    assert!(granted(&mut follower));
+    follower.receive(replica_id(2), vote_request(9), late);
+    assert!(has_granted_vote(&mut follower));
 }
 
 #[test]
-fn a_leader_answers_only_while_a_majority_follows_it() {
+fn leader_holds_lease_only_with_majority_contact() {
     let mut now = START;
-    let mut leader = leader(&mut now);
+    let mut leader = elected_leader(&mut now);
     assert!(leader.has_lease(now));
     now = now + Duration::from_millis(750);
-    assert!(!leader.has_lease(now), "the lease must end before followers would elect another leader");
+    assert!(!leader.has_lease(now), "the lease must end before followers can elect another leader");
     acknowledge(&mut leader, 1, now);
     assert!(leader.has_lease(now));
     leader.tick(now + Duration::from_secs(3));
-    assert_eq!(leader.role(), Role::Follower, "a leader without majority steps down");
+    assert_eq!(leader.role(), Role::Follower, "a leader without a majority must step down");
 }
 
 #[test]
-fn an_acknowledgement_of_an_earlier_membership_counts_for_nothing() {
+fn acknowledgement_from_earlier_membership_is_ignored() {
     let mut now = START;
-    let mut leader = leader(&mut now);
+    let mut leader = elected_leader(&mut now);
     let committed = leader.committed();
-    leader.propose([bytes::Bytes::from_static(b"entry")], now).expect("it leads");
+    leader.propose([bytes::Bytes::from_static(b"entry")], now).expect("replica 1 is the leader");
     let stale = AppendReply {
         term: leader.term(),
         is_success: true,
@@ -126,7 +126,7 @@
         membership: 7,
         sent_at_micros: now.0,
     };
-    leader.receive(id(2), Message::AppendReply(stale), now);
+    leader.receive(replica_id(2), Message::AppendReply(stale), now);
     assert_eq!(leader.committed(), committed);
     acknowledge(&mut leader, 2, now);
     assert_eq!(leader.committed(), committed + 1);
