--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,8 +1,8 @@
-//! Calls in the product's own words, and the state machine that decides what becomes of one.
+//! Protocol-independent calls and the state machine that decides on retries.
 //!
-//! A call may come in by any face (OpenAI chat, plain HTTP); a face maps it to [`CallHead`]. What may be repeated, how
-//! many engines a call may reach and what may be said about it are decided by [`CallMachine`] alone. It reads no
-//! clock and opens no connection: drivers tell it what happened and do what it answers.
+//! Each front end (OpenAI chat, plain HTTP) maps a request to a [`CallHead`]. [`CallMachine`] alone decides whether a
+//! call may be retried, how many engines may run it and what its caller is told. It does no I/O and reads no clock:
+//! the driver reports events and carries out the returned [`Next`] step.
 
 mod events;
 mod head;
--- a/crates/calls/src/machine.rs
+++ b/crates/calls/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one call at the node that took it from its caller.
+//! State machine of a call on the node that received it.
 
 use std::time::Duration;
 
@@ -8,177 +8,173 @@
 use crate::head::EngineId;
 use crate::rules::CallRules;
 
-/// Engines that may turn a call away before it is refused.
+/// Engines that may reject a call before its caller is told to retry later.
 const MAX_REJECTIONS: usize = 3;
-/// Engines that may fail to take a connection before the call is refused.
-const MAX_UNSENT: usize = 4;
-/// Times that a stream is taken up within one answer.
-const MAX_RESUMPTIONS: usize = 4;
-/// What a refused caller is told to wait where no engine said anything.
+/// Attempts that may end before the request is sent, such as failed connections.
+const MAX_UNSENT_ATTEMPTS: usize = 4;
+/// Retries after attempts that may have run, including resumptions of a stream.
+const MAX_RETRIES_AFTER_RUN: usize = 4;
+/// Retry delay sent to a refused caller if no engine specified one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Time of a call that is kept for its run while its admission is waited for, where there is that much.
-const RUN_RESERVE: Duration = Duration::from_millis(900);
+/// Time reserved for the run of a call while it waits for admission, at most half of the remaining time.
+const RUN_TIME_RESERVE: Duration = Duration::from_millis(900);
 
 /// How an attempt at an engine failed.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// No byte of the request was sent.
     NotSent,
-    /// The engine said that it did not and will not run the call.
+    /// The engine rejected the call and has not run it.
     Rejected {
-        /// When it wants to be asked again.
+        /// Delay requested by the engine.
         retry_after: Option<Duration>,
     },
-    /// Another engine has the address; it did not run the call.
+    /// A different engine answered at the address; it has not run the call.
     WrongEngine,
-    /// The request was sent and nothing that can be trusted came back.
+    /// The request was sent and no reliable answer came back.
     Lost,
-    /// What came back is not the engine's answer to this call.
+    /// The response is not a valid answer to this call.
     Spoiled,
-    /// The engine ran it and answered with a server's error.
+    /// The engine ran the call and answered with a server error.
     ServerError,
-    /// The engine may not get the call any more since it was chosen; no byte was sent.
+    /// The engine became ineligible after it was chosen; no byte was sent.
     Withheld,
 }
 
-/// What has been given to the caller.
+/// What has been sent to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Nothing.
     Waiting,
-    /// The head of a stream and maybe events.
+    /// The head of a stream and possibly events.
     Streaming,
 }
 
-/// What to do next.
+/// The next step of the driver.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
     /// Send the call to an engine.
     Try {
-        /// Engines that turned the call away and must not be chosen again.
+        /// Engines that rejected the call and must not be chosen.
         avoid: Vec<EngineId>,
-        /// Engines that failed it, to be chosen again only if there is no other.
+        /// Engines that failed the call, to be chosen only if there is no other.
         rather_not: Vec<EngineId>,
-        /// The only engine that may be chosen, where no further one may run the call.
+        /// The only engine that may be chosen, if set.
         only: Option<EngineId>,
     },
-    /// Say that the call has not run.
+    /// Tell the caller that the call has not run.
     Refuse {
-        /// Why.
         code: ResultCode,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
-    /// Say that the call failed and may have run.
-    Fail {
-        /// Why.
-        code: ResultCode,
-    },
-    /// Break the answer off, which has begun.
-    BreakOff {
-        /// Why.
-        code: ResultCode,
-    },
+    /// Tell the caller that the call failed and may have run.
+    Fail { code: ResultCode },
+    /// Abort the answer, part of which has been sent.
+    BreakOff { code: ResultCode },
 }
 
-/// The state machine of one call.
+/// State machine of a call. The driver reports events; methods that return [`Next`] decide how to continue.
 #[derive(Debug, Clone)]
 pub struct CallMachine {
     rules: CallRules,
     deadline: Timestamp,
     stage: Stage,
-    under_way: Option<EngineId>,
+    in_flight: Option<EngineId>,
     may_have_run: Vec<EngineId>,
     may_resume: bool,
-    turned_away: Vec<EngineId>,
-    unsent: usize,
+    excluded_engines: Vec<EngineId>,
+    unsent_attempts: usize,
     rejections: usize,
-    resumptions: usize,
+    retries_after_run: usize,
     retry_after: Option<Duration>,
     last_event: Option<String>,
     events: u64,
 }
 
 impl CallMachine {
-    /// A call accepted at `now` from a caller that waits for `caller_waits`.
-    pub fn new(rules: CallRules, caller_waits: Option<Duration>, now: Timestamp) -> Self {
-        let held = caller_waits.map_or(rules.timeout, |waits| waits.min(rules.timeout));
+    /// Creates the state of a call received at `now`. The deadline is the shorter of the caller's and the configured
+    /// timeout.
+    pub fn new(rules: CallRules, caller_timeout: Option<Duration>, now: Timestamp) -> Self {
+        let effective_timeout =
+            caller_timeout.map_or(rules.timeout, |caller_timeout| caller_timeout.min(rules.timeout));
         Self {
             rules,
-            deadline: now + held,
+            deadline: now + effective_timeout,
             stage: Stage::Waiting,
-            under_way: None,
+            in_flight: None,
             may_have_run: Vec::new(),
             may_resume: true,
-            turned_away: Vec::new(),
-            unsent: 0,
+            excluded_engines: Vec::new(),
+            unsent_attempts: 0,
             rejections: 0,
-            resumptions: 0,
+            retries_after_run: 0,
             retry_after: None,
             last_event: None,
             events: 0,
         }
     }
 
-    /// When the call is given up.
+    /// When the call times out.
     pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// Until when the call's admission may be waited for, so that time is left for its run.
+    /// How long the call may wait for admission, so that time is left for its run.
     pub fn admission_deadline(&self, now: Timestamp) -> Timestamp {
         let left = self.deadline.since(now);
-        self.deadline - RUN_RESERVE.min(left / 2)
+        self.deadline - RUN_TIME_RESERVE.min(left / 2)
     }
 
-    /// Events given to the caller.
+    /// Number of events sent to the caller.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// The event after which the stream must be taken up; `None` before the first one.
+    /// Id of the last event sent, after which the stream must be resumed; `None` if no event had an id.
     pub fn resume_after(&self) -> Option<&str> {
         self.last_event.as_deref()
     }
 
-    /// Attempts that an engine may have run.
+    /// Number of engines that may have run the call.
     pub fn runs(&self) -> usize {
         self.may_have_run.len()
     }
 
-    /// Engines that turned the call away or could not be reached.
+    /// Number of attempts that were rejected or could not be sent.
     pub fn misses(&self) -> usize {
-        self.rejections + self.unsent
+        self.rejections + self.unsent_attempts
     }
 
-    /// The first thing to do.
+    /// The first step.
     pub fn begin(&self, now: Timestamp) -> Next {
-        if now >= self.deadline { self.expired() } else { self.another_try() }
+        if now >= self.deadline { self.expired() } else { self.next_attempt() }
     }
 
-    /// The call is being sent to an engine, which may run it from now on.
+    /// Records that the call is being sent to an engine, which may run it from now on.
     pub fn sent(&mut self, engine: &EngineId) {
-        self.under_way = Some(engine.clone());
+        self.in_flight = Some(engine.clone());
     }
 
-    /// What can be said of whether the call has run, unless it was answered.
+    /// Whether a call without an answer may have run.
     pub fn ran(&self) -> Ran {
-        let is_unsent = self.may_have_run.is_empty() && self.under_way.is_none();
+        let is_unsent = self.may_have_run.is_empty() && self.in_flight.is_none();
         if is_unsent || is_broken(Rule::SentIsNeverNotRun) { Ran::No } else { Ran::Unknown }
     }
 
-    /// What the caller was given can't be followed by another engine's answer.
+    /// Forbids retries, because another engine's answer can't continue what was sent to the caller.
     pub fn forbid_resumption(&mut self) {
         self.may_resume = false;
     }
 
-    /// The head of a stream was given to the caller.
+    /// Records that the head of a stream was sent to the caller.
     pub fn head_given(&mut self) {
         self.stage = Stage::Streaming;
     }
 
-    /// An event was given to the caller.
+    /// Records that an event was sent to the caller.
     pub fn event_given(&mut self, id: Option<String>) {
         self.events += 1;
         if id.is_some() {
@@ -186,63 +182,63 @@
         }
     }
 
-    /// No engine can be chosen, for this reason.
+    /// Ends the call because no engine can be chosen.
     pub fn no_engine(&self, code: ResultCode) -> Next {
-        self.give_up(code)
+        self.finish(code)
     }
 
-    /// There is no room for the call; it was not sent.
+    /// Refuses the call, which was not sent, because there is no capacity for it.
     pub fn no_room(&self, retry_after: Duration) -> Next {
         Next::Refuse { code: ResultCode::Overloaded, retry_after }
     }
 
-    /// The caller is not admitted any more.
+    /// Ends the call because its caller's access was denied.
     pub fn denied(&self, code: ResultCode) -> Next {
-        self.give_up(code)
+        self.finish(code)
     }
 
-    /// The call's time is over.
+    /// Ends the call because its deadline has passed.
     pub fn expired(&self) -> Next {
-        self.give_up(ResultCode::DeadlineExceeded)
+        self.finish(ResultCode::DeadlineExceeded)
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt and returns the next step.
     pub fn failed(&mut self, engine: &EngineId, failure: Failure, now: Timestamp) -> Next {
-        self.note(engine, failure);
+        self.record_failure(engine, failure);
         if now >= self.deadline {
             return self.expired();
         }
         match failure {
-            Failure::Withheld => self.another_try(),
-            Failure::NotSent if self.unsent < MAX_UNSENT => self.another_try(),
-            Failure::NotSent => self.give_up(ResultCode::BackEndUnreachable),
+            Failure::Withheld => self.next_attempt(),
+            Failure::NotSent if self.unsent_attempts < MAX_UNSENT_ATTEMPTS => self.next_attempt(),
+            Failure::NotSent => self.finish(ResultCode::BackEndUnreachable),
             Failure::Rejected { .. } | Failure::WrongEngine if self.rejections < MAX_REJECTIONS => {
-                self.another_try()
+                self.next_attempt()
             }
-            Failure::Rejected { .. } | Failure::WrongEngine => self.give_up(ResultCode::Overloaded),
-            Failure::Lost => self.after_a_run(ResultCode::BackEndCut),
-            Failure::Spoiled => self.after_a_run(ResultCode::BackEndGarbage),
-            Failure::ServerError => self.after_a_run(ResultCode::BackEndRefused),
+            Failure::Rejected { .. } | Failure::WrongEngine => self.finish(ResultCode::Overloaded),
+            Failure::Lost => self.retry_after_possible_run(ResultCode::BackEndCut),
+            Failure::Spoiled => self.retry_after_possible_run(ResultCode::BackEndGarbage),
+            Failure::ServerError => self.retry_after_possible_run(ResultCode::BackEndRefused),
         }
     }
 
-    fn note(&mut self, engine: &EngineId, failure: Failure) {
-        self.under_way = None;
+    fn record_failure(&mut self, engine: &EngineId, failure: Failure) {
+        self.in_flight = None;
         match failure {
-            // Whoever chooses knows that it may not be chosen again.
+            // Engine selection already excludes this engine.
             Failure::Withheld => {}
             Failure::NotSent => {
-                self.unsent += 1;
-                self.turned_away.push(engine.clone());
+                self.unsent_attempts += 1;
+                self.excluded_engines.push(engine.clone());
             }
             Failure::Rejected { retry_after } => {
                 self.rejections += 1;
                 self.retry_after = retry_after.or(self.retry_after);
-                self.turned_away.push(engine.clone());
+                self.excluded_engines.push(engine.clone());
             }
             Failure::WrongEngine => {
                 self.rejections += 1;
-                self.turned_away.push(engine.clone());
+                self.excluded_engines.push(engine.clone());
             }
             Failure::Lost | Failure::Spoiled | Failure::ServerError => {
                 if !self.may_have_run.contains(engine) {
@@ -252,40 +248,40 @@
         }
     }
 
-    /// Whether a call that an engine failed may go to one that has not run it.
+    /// Whether the call, if `engine` fails it, may be sent to an engine that has not run it.
     pub fn may_run_elsewhere(&self, engine: &EngineId) -> bool {
-        let others = self.may_have_run.iter().filter(|ran| *ran != engine).count();
-        self.rules.kind.may_run_again() && self.may_resume && others + 1 < self.rules.max_engines
+        let other_runs = self.may_have_run.iter().filter(|ran| *ran != engine).count();
+        self.rules.kind.may_run_again() && self.may_resume && other_runs + 1 < self.rules.max_engines
     }
 
-    fn after_a_run(&mut self, code: ResultCode) -> Next {
+    fn retry_after_possible_run(&mut self, code: ResultCode) -> Next {
         if !self.rules.kind.may_run_again() || !self.may_resume {
-            return self.give_up(code);
+            return self.finish(code);
         }
-        self.resumptions += 1;
-        // Once an event was given, only a stream that can be taken up behind it may go on.
-        let can_go_on = self.stage == Stage::Waiting || self.last_event.is_some() || self.events == 0;
-        if self.resumptions > MAX_RESUMPTIONS || !can_go_on {
-            return self.give_up(code);
+        self.retries_after_run += 1;
+        // After an event was sent, only a stream whose events have ids can be resumed.
+        let can_resume = self.stage == Stage::Waiting || self.last_event.is_some() || self.events == 0;
+        if self.retries_after_run > MAX_RETRIES_AFTER_RUN || !can_resume {
+            return self.finish(code);
         }
-        self.another_try()
+        self.next_attempt()
     }
 
-    /// Another engine, or the last one again where no further engine may run the call.
-    fn another_try(&self) -> Next {
+    /// Tries another engine, or the last one again if `max_engines` is reached and the rules allow it.
+    fn next_attempt(&self) -> Next {
         if self.may_have_run.len() < self.rules.max_engines {
-            let (avoid, rather_not) = (self.turned_away.clone(), self.may_have_run.clone());
+            let (avoid, rather_not) = (self.excluded_engines.clone(), self.may_have_run.clone());
             return Next::Try { avoid, rather_not, only: None };
         }
         match self.may_have_run.last() {
-            Some(last) if self.rules.returns_to_last && !self.turned_away.contains(last) => {
+            Some(last) if self.rules.returns_to_last && !self.excluded_engines.contains(last) => {
                 Next::Try { avoid: Vec::new(), rather_not: Vec::new(), only: Some(last.clone()) }
             }
-            _ => self.give_up(ResultCode::BackEndCut),
+            _ => self.finish(ResultCode::BackEndCut),
         }
     }
 
-    fn give_up(&self, code: ResultCode) -> Next {
+    fn finish(&self, code: ResultCode) -> Next {
         if self.stage == Stage::Streaming {
             return Next::BreakOff { code };
         }
--- a/crates/calls/src/rules.rs
+++ b/crates/calls/src/rules.rs
@@ -1,23 +1,23 @@
-//! What the configuration allows for a call.
+//! Retry rules of a call.
 
 use std::time::Duration;
 
-/// What may be repeated.
+/// Whether a call may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// May run any number of times.
+    /// Idempotent: may run any number of times.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// Answers with events; runs at most once unless it may be taken up after an event.
+    /// Answered by a stream of events; runs at most once unless it is resumable.
     Stream {
-        /// Whether it may be taken up at any engine.
+        /// Whether any engine can resume the stream after an event.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether a run that may have happened can be followed by another.
+    /// Whether the call may run again after an attempt that may have run.
     pub fn may_run_again(self) -> bool {
         matches!(self, CallKind::Repeatable | CallKind::Stream { resumable: true })
     }
@@ -28,19 +28,19 @@
     }
 }
 
-/// What the configuration allows for a call.
+/// Configured rules of a call.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallRules {
-    /// What may be repeated.
     pub kind: CallKind,
-    /// Most engines that may run it.
+    /// Maximum number of engines that may run the call.
     pub max_engines: usize,
-    /// Whether the last engine may run it again where no further one may.
+    /// Whether the last engine may run the call again once `max_engines` is reached.
     pub returns_to_last: bool,
-    /// Longest time that it is held.
+    /// Maximum duration of the call; the caller's timeout may shorten it.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) should come.
+    /// Target latency of the answer, or of a stream's first event.
     pub aim: Duration,
-    /// Rank; 0 is highest.
+    /// 0 is the highest priority.
     pub priority: u32,
 }
--- a/crates/calls/tests/machine.rs
+++ b/crates/calls/tests/machine.rs
@@ -1,4 +1,4 @@
-//! What becomes of a call when engines fail it.
+//! Decisions of the call state machine after failed attempts.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     EngineId::new(name)
 }
 
-fn avoided(next: &Next) -> Vec<&str> {
+fn excluded_engines(next: &Next) -> Vec<&str> {
     match next {
         Next::Try { avoid, rather_not, only: None } => {
             avoid.iter().chain(rather_not).map(EngineId::as_str).collect()
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn the_shorter_of_the_callers_and_the_routes_time_holds() {
+fn deadline_is_the_shorter_of_caller_and_route_timeout() {
     assert_eq!(machine(CallKind::Once, 1).deadline(), START + Duration::from_secs(2));
 }
 
 #[test]
-fn a_call_that_may_run_once_is_never_sent_again_once_it_may_have_run() {
+fn once_call_that_may_have_run_is_not_retried() {
     for failure in [Failure::Lost, Failure::Spoiled] {
         let mut machine = machine(CallKind::Once, 5);
         let next = machine.failed(&engine("a"), failure, START);
@@ -48,16 +48,16 @@
 }
 
 #[test]
-fn a_call_that_was_turned_away_goes_to_another_engine() {
+fn rejected_call_is_retried_on_another_engine() {
     let mut machine = machine(CallKind::Once, 1);
     let next = machine.failed(&engine("a"), REJECTED, START);
-    assert_eq!(avoided(&next), ["a"]);
+    assert_eq!(excluded_engines(&next), ["a"]);
     let next = machine.failed(&engine("b"), Failure::NotSent, START);
-    assert_eq!(avoided(&next), ["a", "b"]);
+    assert_eq!(excluded_engines(&next), ["a", "b"]);
 }
 
 #[test]
-fn a_refusal_is_given_only_while_nothing_can_have_run() {
+fn call_is_refused_only_if_it_cannot_have_run() {
     let mut once = machine(CallKind::Once, 1);
     for name in ["a", "b"] {
         once.failed(&engine(name), REJECTED, START);
@@ -72,15 +72,15 @@
 }
 
 #[test]
-fn no_more_engines_run_a_call_than_its_route_allows() {
+fn call_runs_on_at_most_max_engines() {
     let mut machine = machine(CallKind::Repeatable, 2);
-    assert_eq!(avoided(&machine.failed(&engine("a"), Failure::Lost, START)), ["a"]);
+    assert_eq!(excluded_engines(&machine.failed(&engine("a"), Failure::Lost, START)), ["a"]);
     let next = machine.failed(&engine("b"), Failure::Lost, START);
     assert_eq!(next, Next::Try { avoid: Vec::new(), rather_not: Vec::new(), only: Some(engine("b")) });
 }
 
 #[test]
-fn a_stream_goes_on_behind_its_last_event_at_the_same_engine_where_no_other_is_allowed() {
+fn stream_resumes_on_the_last_engine_when_max_engines_is_reached() {
     let mut machine = machine(CallKind::Stream { resumable: true }, 1);
     machine.head_given();
     machine.event_given(Some("4".to_owned()));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_taken_up_is_broken_off() {
+fn non_resumable_stream_is_aborted() {
     let mut machine = machine(CallKind::Stream { resumable: false }, 3);
     machine.head_given();
     machine.event_given(Some("1".to_owned()));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn events_without_ids_leave_nothing_to_take_a_stream_up_at() {
+fn stream_without_event_ids_is_aborted() {
     let mut machine = machine(CallKind::Stream { resumable: true }, 3);
     machine.head_given();
     machine.event_given(None);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn after_the_deadline_the_answer_is_final_and_true() {
+fn expired_call_fails_or_is_refused_by_whether_it_was_sent() {
     let late = START + Duration::from_secs(2);
     let mut sent = machine(CallKind::Repeatable, 3);
     assert_eq!(
@@ -120,30 +120,30 @@
 }
 
 #[test]
-fn tries_end_however_engines_fail() {
+fn attempts_are_bounded_for_every_failure() {
     for failure in [Failure::NotSent, REJECTED, Failure::WrongEngine, Failure::Lost] {
         let mut machine = machine(CallKind::Repeatable, 100);
-        let mut tries = 0;
-        while let Next::Try { .. } = machine.failed(&engine(&format!("e{tries}")), failure, START) {
-            tries += 1;
-            assert!(tries < 10, "{failure:?} is tried without end");
+        let mut attempts = 0;
+        while let Next::Try { .. } = machine.failed(&engine(&format!("e{attempts}")), failure, START) {
+            attempts += 1;
+            assert!(attempts < 10, "retries after {failure:?} are unbounded");
         }
     }
 }
 
-/// Farm incident inc-3113: a turn with less than 0.9 s left was refused at once, as if the ledger had not answered.
+/// Guards against refusing a call at once when it has less time left than is reserved for its run.
 #[test]
-fn a_call_with_little_time_still_waits_for_its_admission() {
+fn call_with_little_time_left_waits_for_admission() {
     let machine = machine(CallKind::Once, 1);
     assert_eq!(machine.admission_deadline(START), START + Duration::from_millis(1_100));
     let late = START + Duration::from_millis(1_600);
     assert_eq!(machine.admission_deadline(late), START + Duration::from_millis(1_800));
-    let over = START + Duration::from_secs(3);
-    assert_eq!(machine.admission_deadline(over), machine.deadline());
+    let after_deadline = START + Duration::from_secs(3);
+    assert_eq!(machine.admission_deadline(after_deadline), machine.deadline());
 }
 
 #[test]
-fn a_call_under_way_is_not_declared_as_not_run() {
+fn call_in_flight_is_not_reported_as_not_run() {
     let mut machine = machine(CallKind::Once, 1);
     machine.sent(&engine("a"));
     assert!(matches!(machine.expired(), Next::Fail { .. }));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_answer_that_cannot_be_followed_by_another_is_broken_off() {
+fn stream_with_forbidden_resumption_is_aborted() {
     let mut machine = machine(CallKind::Stream { resumable: true }, 3);
     machine.head_given();
     machine.event_given(Some("1".to_owned()));
