--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,4 +1,4 @@
-//! Segments in use: appending with one sync for a whole batch, and giving up old segments.
+//! The journal: commits batches of records with one sync each and removes old segments.
 
 use std::collections::VecDeque;
 use std::io;
@@ -9,21 +9,21 @@
 /// Limits of a journal.
 #[derive(Debug, Clone, Copy)]
 pub struct JournalSettings {
-    /// Bytes that all segments together may hold; a commit beyond that is refused.
+    /// Maximum total size of all segments; commits that would exceed it fail.
     pub capacity_bytes: u64,
 }
 
-/// A commit or a replay failed.
+/// Error of a replay or commit.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The disk is full by the settings.
-    #[error("the journal holds {0} bytes and may not grow")]
+    /// The commit would exceed the configured capacity. Holds the bytes in use.
+    #[error("the journal is full with {0} bytes in use")]
     Full(u64),
-    /// The disk failed; what was to be committed may or may not be there.
-    #[error("the disk failed: {0}")]
+    /// The disk failed; the records may or may not be durable.
+    #[error("disk error: {0}")]
     Disk(#[from] io::Error),
-    /// The disk failed before; nothing is committed any more in this life of the process.
-    #[error("the journal failed before")]
+    /// The disk failed earlier; the journal accepts no more commits until it is opened again.
+    #[error("the journal stopped after an earlier disk error")]
     Failed,
 }
 
@@ -33,7 +33,7 @@
     bytes: u64,
 }
 
-/// A journal over a disk.
+/// A journal on a [`Disk`].
 pub struct Journal<D> {
     disk: D,
     settings: JournalSettings,
@@ -44,8 +44,9 @@
 }
 
 impl<D: Disk> Journal<D> {
-    /// Reads what the disk holds, oldest record first, and begins a new segment, so that nothing is written behind
-    /// a torn record. Returns the number of bytes behind whole records, left by writes that were torn.
+    /// Replays the records on the disk, oldest first, and starts a new segment, so that nothing is appended after a
+    /// torn record. Also returns the number of bytes after the last intact record of each segment, left by torn
+    /// writes.
     pub fn open(
         mut disk: D,
         settings: JournalSettings,
@@ -54,13 +55,14 @@
         let mut torn_bytes = 0;
         let mut closed = VecDeque::new();
         for number in disk.list()? {
-            let (content, bytes) = disk.read(number)?;
-            let end = read_records(content, bytes, &mut replay)?;
-            torn_bytes += usize::try_from(bytes - end).unwrap_or(usize::MAX);
+            let (reader, bytes) = disk.read(number)?;
+            let intact_bytes = read_records(reader, bytes, &mut replay)?;
+            torn_bytes += usize::try_from(bytes - intact_bytes).unwrap_or(usize::MAX);
             closed.push_back(Segment { number, bytes });
         }
         if let Some(last) = closed.back() {
-            // The process that wrote it may have ended before its sync did, and what was replayed is gone by from now on.
+            // The previous process may have died before its sync completed. The caller acts on the replayed records,
+            // so they must be durable.
             disk.settle(last.number)?;
         }
         let number = closed.back().map_or(0, |last: &Segment| last.number + 1);
@@ -70,8 +72,8 @@
         Ok((journal, torn_bytes))
     }
 
-    /// Makes records durable with one sync. After an error nothing more is committed: what a failed sync left
-    /// behind is not known.
+    /// Makes records durable with one sync. After a disk error all further commits fail, because the state after a
+    /// failed sync is unknown.
     pub fn commit<'a>(&mut self, records: impl IntoIterator<Item = &'a [u8]>) -> Result<(), JournalError> {
         if self.has_failed {
             return Err(JournalError::Failed);
@@ -84,8 +86,8 @@
         if self.total_bytes() + bytes > self.settings.capacity_bytes {
             return Err(JournalError::Full(self.total_bytes()));
         }
-        let written = self.disk.append(&self.buffer).and_then(|()| self.disk.sync());
-        if let Err(error) = written {
+        let outcome = self.disk.append(&self.buffer).and_then(|()| self.disk.sync());
+        if let Err(error) = outcome {
             self.has_failed = true;
             return Err(error.into());
         }
@@ -93,7 +95,7 @@
         Ok(())
     }
 
-    /// Begins a new segment and returns its number.
+    /// Starts a new segment and returns its number.
     pub fn begin_segment(&mut self) -> Result<SegmentNumber, JournalError> {
         let number = self.current.number + 1;
         self.disk.create(number)?;
@@ -102,7 +104,7 @@
         Ok(number)
     }
 
-    /// Removes the segments below `number`; what of them still matters must have been committed again.
+    /// Removes the segments below `number`. Records that are still needed must have been committed again.
     pub fn remove_below(&mut self, number: SegmentNumber) -> Result<(), JournalError> {
         while let Some(oldest) = self.closed.front().copied().filter(|oldest| oldest.number < number) {
             self.disk.remove(oldest.number)?;
@@ -111,7 +113,7 @@
         Ok(())
     }
 
-    /// Bytes in all segments.
+    /// Total size of all segments.
     pub fn total_bytes(&self) -> u64 {
         self.closed.iter().map(|segment| segment.bytes).sum::<u64>() + self.current.bytes
     }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,8 +1,8 @@
-//! A durable journal: records that survive a loss of power once [`Journal::commit`] has returned.
+//! A durable journal: records survive power loss once [`Journal::commit`] has returned.
 //!
-//! Records lie in numbered segments, each record with its length and a checksum. A record whose write was torn or
-//! lost ends the replay of its segment: everything after it was never acknowledged. The disk stands behind the
-//! [`Disk`] port, so that tests can lose and tear writes as they like.
+//! Records are stored in numbered segments, each with its length and a checksum. A torn or lost record ends the
+//! replay of its segment, since nothing after it was acknowledged. Storage is accessed through the [`Disk`] trait,
+//! so that tests can simulate lost and torn writes.
 
 mod disk;
 mod journal;
@@ -12,4 +12,4 @@
 pub use disk::{Disk, FolderDisk, SegmentNumber};
 pub use journal::{Journal, JournalError, JournalSettings};
 pub use record::{RECORD_HEADER_BYTES, encode_record, read_records};
-pub use writer::{Committed, JournalFailure, JournalWriter, WriterStopped};
+pub use writer::{CommitCallback, JournalFailure, JournalWriter, WriterStopped};
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,4 +1,4 @@
-//! Commits records in batches on a thread of their own: while one sync runs, the next batch gathers.
+//! Commits records in batches on a dedicated thread: requests that arrive during a sync form the next batch.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,23 +9,22 @@
 use crate::disk::{Disk, SegmentNumber};
 use crate::journal::{Journal, JournalError};
 
-/// Records of one batch at the most.
-const MAX_BATCH: usize = 512;
+const MAX_BATCH_RECORDS: usize = 512;
 
-/// Told when a record is durable, or that it can't be made so.
-pub type Committed = Box<dyn FnOnce(Result<(), JournalFailure>) + Send>;
+/// Called when a record is durable or its commit has failed.
+pub type CommitCallback = Box<dyn FnOnce(Result<(), JournalFailure>) + Send>;
 
-/// The outcome of a failed commit in a form that can be handed to many.
+/// A failed commit, as reported to each record of its batch.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct JournalFailure {
     reason: Arc<str>,
-    /// Whether nothing more is committed in this life of the process.
+    /// Whether all later commits of this writer will fail too.
     pub is_final: bool,
 }
 
 impl JournalFailure {
-    /// The writer has ended.
+    /// The failure of a commit whose writer has stopped.
     pub fn stopped() -> Self {
         Self { reason: Arc::from(WriterStopped.to_string()), is_final: true }
     }
@@ -33,77 +32,77 @@
 
 impl From<JournalError> for JournalFailure {
     fn from(error: JournalError) -> Self {
-        // A full journal has room again behind its next snapshot.
+        // A full journal accepts commits again once old segments are removed after a snapshot.
         let is_final = !matches!(error, JournalError::Full(_));
         Self { reason: Arc::from(error.to_string()), is_final }
     }
 }
 
-/// The writer's thread has ended.
+/// The writer's thread has stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the journal's writer has stopped")]
 pub struct WriterStopped;
 
-enum Order {
-    Commit(Bytes, Committed),
+enum Request {
+    Commit(Bytes, CommitCallback),
     BeginSegment(Box<dyn FnOnce(Option<SegmentNumber>) + Send>),
     RemoveBelow(SegmentNumber),
 }
 
-/// Hands records to whoever owns the journal.
+/// Handle for committing to a journal that another thread may own.
 pub struct JournalWriter {
-    place: Place,
+    backend: Backend,
 }
 
-/// Where the journal is written.
-enum Place {
-    /// On a thread of its own, which ends once its queue is gone.
-    Thread { orders: Option<Sender<Order>>, thread: Option<JoinHandle<()>> },
-    /// By whoever hands something in.
-    Here(Mutex<Box<dyn FnMut(Order) + Send>>),
+/// How requests are executed.
+enum Backend {
+    /// On a dedicated thread, which ends when `requests` is dropped.
+    Thread { requests: Option<Sender<Request>>, thread: Option<JoinHandle<()>> },
+    /// On the calling thread.
+    Inline(Mutex<Box<dyn FnMut(Request) + Send>>),
 }
 
 impl JournalWriter {
-    /// Starts the thread.
+    /// Starts a thread that owns the journal.
     pub fn start<D: Disk + 'static>(journal: Journal<D>) -> Self {
-        let (orders, queue) = channel();
-        let thread = std::thread::spawn(move || run(journal, &queue));
-        Self { place: Place::Thread { orders: Some(orders), thread: Some(thread) } }
+        let (requests, queue) = channel();
+        let thread = std::thread::spawn(move || run_writer(journal, &queue));
+        Self { backend: Backend::Thread { requests: Some(requests), thread: Some(thread) } }
     }
 
-    /// Writes in the middle of each call: for disks that take no time, which a virtual clock then doesn't wait for.
+    /// Executes each request on the calling thread, for in-memory disks under a virtual clock.
     pub fn in_place<D: Disk + 'static>(mut journal: Journal<D>) -> Self {
-        let follow = move |order| obey(&mut journal, order);
-        Self { place: Place::Here(Mutex::new(Box::new(follow))) }
+        let handler = move |request| handle_request(&mut journal, request);
+        Self { backend: Backend::Inline(Mutex::new(Box::new(handler))) }
     }
 
-    /// Queues a record; `committed` is called where the journal is written.
-    pub fn commit(&self, record: Bytes, committed: Committed) -> Result<(), WriterStopped> {
-        self.send(Order::Commit(record, committed))
+    /// Enqueues a record. `on_committed` is called on the thread that writes the journal.
+    pub fn commit(&self, record: Bytes, on_committed: CommitCallback) -> Result<(), WriterStopped> {
+        self.send(Request::Commit(record, on_committed))
     }
 
-    /// Begins a new segment behind everything queued so far and tells its number.
+    /// Starts a new segment after all queued requests and passes its number to `on_begun`, or `None` on failure.
     pub fn begin_segment(
         &self,
-        begun: Box<dyn FnOnce(Option<SegmentNumber>) + Send>,
+        on_begun: Box<dyn FnOnce(Option<SegmentNumber>) + Send>,
     ) -> Result<(), WriterStopped> {
-        self.send(Order::BeginSegment(begun))
+        self.send(Request::BeginSegment(on_begun))
     }
 
-    /// Removes the segments below a number, after everything queued so far.
+    /// Removes the segments below `number` after all queued requests. Errors are ignored.
     pub fn remove_below(&self, number: SegmentNumber) -> Result<(), WriterStopped> {
-        self.send(Order::RemoveBelow(number))
+        self.send(Request::RemoveBelow(number))
     }
 
-    fn send(&self, order: Order) -> Result<(), WriterStopped> {
-        match &self.place {
-            Place::Thread { orders, .. } => {
-                let orders = orders.as_ref().ok_or(WriterStopped)?;
-                orders.send(order).map_err(|_| WriterStopped)
+    fn send(&self, request: Request) -> Result<(), WriterStopped> {
+        match &self.backend {
+            Backend::Thread { requests, .. } => {
+                let requests = requests.as_ref().ok_or(WriterStopped)?;
+                requests.send(request).map_err(|_| WriterStopped)
             }
-            Place::Here(follow) => {
-                let mut follow = follow.lock().unwrap_or_else(PoisonError::into_inner);
-                follow(order);
+            Backend::Inline(handler) => {
+                let mut handler = handler.lock().unwrap_or_else(PoisonError::into_inner);
+                handler(request);
                 Ok(())
             }
         }
@@ -112,64 +111,63 @@
 
 impl Drop for JournalWriter {
     fn drop(&mut self) {
-        let Place::Thread { orders, thread } = &mut self.place else { return };
-        *orders = None;
+        let Backend::Thread { requests, thread } = &mut self.backend else { return };
+        *requests = None;
         if let Some(thread) = thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn run<D: Disk>(mut journal: Journal<D>, queue: &Receiver<Order>) {
+fn run_writer<D: Disk>(mut journal: Journal<D>, queue: &Receiver<Request>) {
     while let Ok(first) = queue.recv() {
         let mut batch = Vec::new();
-        let mut after = None;
-        gather(first, queue, &mut batch, &mut after);
+        let mut following = None;
+        collect_batch(first, queue, &mut batch, &mut following);
         commit_batch(&mut journal, batch);
-        if let Some(after) = after {
-            obey(&mut journal, after);
+        if let Some(following) = following {
+            handle_request(&mut journal, following);
         }
     }
 }
 
-/// Does one thing that was asked for.
-fn obey<D: Disk>(journal: &mut Journal<D>, order: Order) {
-    match order {
-        Order::BeginSegment(begun) => begun(journal.begin_segment().ok()),
-        Order::RemoveBelow(number) => {
+fn handle_request<D: Disk>(journal: &mut Journal<D>, request: Request) {
+    match request {
+        Request::BeginSegment(on_begun) => on_begun(journal.begin_segment().ok()),
+        Request::RemoveBelow(number) => {
             let _ = journal.remove_below(number);
         }
-        Order::Commit(record, committed) => commit_batch(journal, vec![(record, committed)]),
+        Request::Commit(record, on_committed) => commit_batch(journal, vec![(record, on_committed)]),
     }
 }
 
-/// Takes what is queued up to the first order that is not a commit.
-fn gather(
-    first: Order,
-    queue: &Receiver<Order>,
-    batch: &mut Vec<(Bytes, Committed)>,
-    after: &mut Option<Order>,
+/// Adds queued commits to `batch`, up to its limit or the first other request, which is stored in `following`.
+fn collect_batch(
+    first: Request,
+    queue: &Receiver<Request>,
+    batch: &mut Vec<(Bytes, CommitCallback)>,
+    following: &mut Option<Request>,
 ) {
-    let mut next = Some(first);
-    while let Some(order) = next {
-        match order {
-            Order::Commit(record, committed) => batch.push((record, committed)),
-            other => {
-                *after = Some(other);
+    let mut next_request = Some(first);
+    while let Some(request) = next_request {
+        match request {
+            Request::Commit(record, on_committed) => batch.push((record, on_committed)),
+            non_commit => {
+                *following = Some(non_commit);
                 return;
             }
         }
-        next = if batch.len() < MAX_BATCH { queue.try_recv().ok() } else { None };
+        next_request = if batch.len() < MAX_BATCH_RECORDS { queue.try_recv().ok() } else { None };
     }
 }
 
-fn commit_batch<D: Disk>(journal: &mut Journal<D>, batch: Vec<(Bytes, Committed)>) {
+fn commit_batch<D: Disk>(journal: &mut Journal<D>, batch: Vec<(Bytes, CommitCallback)>) {
     if batch.is_empty() {
         return;
     }
     let outcome = journal.commit(batch.iter().map(|(record, _)| &record[..]));
     let outcome = outcome.map_err(JournalFailure::from);
-    for (_, committed) in batch {
-        committed(outcome.clone());
+    for (_, on_committed) in batch {
+        on_committed(outcome.clone());
     }
 }
--- a/crates/journal/tests/recorded_forms.rs
+++ b/crates/journal/tests/recorded_forms.rs
@@ -1,7 +1,6 @@
-//! Segments as earlier builds wrote them are read, and today's are written as they were recorded.
+//! Compatibility of the segment format with earlier builds.
 //!
-//! A machine may go back to an older build, so a segment has no second form that this one can't read. Lines of
-//! `fixtures/segments.txt` are never changed.
+//! Machines may be rolled back, so the format must not change. Lines of `fixtures/segments.txt` are never edited.
 
 use std::fs;
 use std::path::Path;
@@ -11,7 +10,7 @@
 
 const SEGMENT: &str = "Segment";
 const SETTINGS: JournalSettings = JournalSettings { capacity_bytes: 1 << 20 };
-/// Names of two segments that follow each other.
+/// File names of two consecutive segments.
 const FIRST_FILE: &str = "000000000003.journal";
 const NEXT_FILE: &str = "000000000004.journal";
 
@@ -39,7 +38,7 @@
 }
 
 #[test]
-fn recorded_segments_are_read_and_written() {
+fn recorded_segments_decode_and_encode_unchanged() {
     let mut forms = recorded();
     let codec = Codec { encode: |records: &Vec<Vec<u8>>| write(records), decode: read };
     forms.writes(&codec, SEGMENT, "1", &records());
@@ -49,9 +48,9 @@
     }
 }
 
-fn open(folder: &Path) -> (Journal<FolderDisk>, Vec<Vec<u8>>) {
+fn open(directory: &Path) -> (Journal<FolderDisk>, Vec<Vec<u8>>) {
     let mut replayed = Vec::new();
-    let disk = FolderDisk::open(folder.to_owned()).expect("a disk");
+    let disk = FolderDisk::open(directory.to_owned()).expect("a disk");
     let opened = Journal::open(disk, SETTINGS, |record| replayed.push(record.to_vec()));
     let (journal, torn_bytes) = opened.expect("a journal");
     assert_eq!(torn_bytes, 0);
@@ -59,13 +58,13 @@
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_is_replayed_and_gone_on_from() {
+fn directory_of_an_earlier_build_is_replayed_and_appended_to() {
     let segment = recorded().bytes(SEGMENT, "1");
-    let folder = tempfile::tempdir().expect("a folder");
-    fs::write(folder.path().join(FIRST_FILE), &segment).expect("a segment");
-    let (mut journal, replayed) = open(folder.path());
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    fs::write(directory.path().join(FIRST_FILE), &segment).expect("a segment");
+    let (mut journal, replayed) = open(directory.path());
     assert_eq!(replayed, records());
     journal.commit(records().iter().map(Vec::as_slice)).expect("a commit");
     drop(journal);
-    assert_eq!(fs::read(folder.path().join(NEXT_FILE)).expect("a file"), segment);
+    assert_eq!(fs::read(directory.path().join(NEXT_FILE)).expect("a file"), segment);
 }
--- a/crates/journal/tests/simulated_disk/mod.rs
+++ b/crates/journal/tests/simulated_disk/mod.rs
@@ -1,4 +1,4 @@
-//! A disk whose unsynced writes are lost, torn or kept when power is lost.
+//! A simulated disk that keeps, tears or loses unsynced writes on power loss.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,10 +17,10 @@
 struct State {
     segments: BTreeMap<SegmentNumber, Content>,
     current: SegmentNumber,
-    fails_next_sync: bool,
+    should_fail_next_sync: bool,
 }
 
-/// A disk in memory that outlives the journals opened on it.
+/// An in-memory disk; its clones share the content.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
@@ -28,22 +28,22 @@
 
 impl SimulatedDisk {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("the disk")
+        self.state.lock().expect("the disk's lock is not poisoned")
     }
 
-    /// The next sync fails; what it should have covered stays unsynced.
+    /// Makes the next sync fail and leave its writes unsynced.
     pub fn fail_next_sync(&self) {
-        self.state().fails_next_sync = true;
+        self.state().should_fail_next_sync = true;
     }
 
-    /// Puts bytes behind the current segment as a torn write would.
+    /// Appends raw bytes to the current segment, as a torn write would.
     pub fn append_raw(&self, bytes: &[u8]) {
         let mut state = self.state();
         let current = state.current;
         state.segments.get_mut(&current).expect("a segment").synced.extend_from_slice(bytes);
     }
 
-    /// Each write that was not synced is kept, lost or torn.
+    /// Keeps, tears or loses each unsynced write at random.
     pub fn lose_power(&self, random: &mut impl Rng) {
         let mut state = self.state();
         for content in state.segments.values_mut() {
@@ -101,7 +101,7 @@
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        if std::mem::take(&mut state.fails_next_sync) {
+        if std::mem::take(&mut state.should_fail_next_sync) {
             return Err(io::Error::other("the sync failed"));
         }
         let current = state.current;
