--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -114,14 +114,14 @@
     if !is_same_key && !is_same_turn {
         return None;
     }
-    if content_digest(record, in_flight.accepted.turn, request) != in_flight.request {
+    if content_digest(record, in_flight.accepted.turn, request) != in_flight.request_digest {
         return Some(content_mismatch(is_same_key));
     }
     Some(Admission::Wait("the same call is in progress"))
 }
 
 fn replay(record: &Program, turn: TurnNumber, by_key: bool, request: &BeginTurn) -> Admission {
-    let recorded = record.turns.get(turn.0 as usize).map(|record| record.request);
+    let recorded = record.turns.get(turn.0 as usize).map(|record| record.request_digest);
     if recorded != Some(content_digest(record, turn, request)) {
         return content_mismatch(by_key);
     }
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -43,7 +43,7 @@
     pub call: CallId,
     pub key: Option<IdempotencyKey>,
     /// Digest of the history before the answer.
-    pub request: PrefixDigest,
+    pub request_digest: PrefixDigest,
     /// Index of the answer in the history.
     pub answer_index: usize,
     pub finish_reason: String,
@@ -60,7 +60,7 @@
 pub struct InFlight {
     pub accepted: Box<TurnAccepted>,
     /// Digest of the history before the pending answer.
-    pub request: PrefixDigest,
+    pub request_digest: PrefixDigest,
 }
 
 impl Program {
@@ -115,9 +115,9 @@
         if !is_next {
             return;
         }
-        let request = crate::history::extend_digest(self.history.digest(), &accepted.messages);
+        let request_digest = crate::history::extend_digest(self.history.digest(), &accepted.messages);
         self.budget.reserved = accepted.reserved;
-        self.in_flight = Some(InFlight { accepted: Box::new(accepted.clone()), request });
+        self.in_flight = Some(InFlight { accepted: Box::new(accepted.clone()), request_digest });
     }
 
     pub(crate) fn commit(&mut self, committed: &TurnCommitted) {
@@ -139,7 +139,7 @@
         self.turns.push(TurnRecord {
             call: committed.call,
             key: accepted.key,
-            request: in_flight.request,
+            request_digest: in_flight.request_digest,
             answer_index,
             finish_reason: committed.answer.finish_reason.clone(),
             usage: committed.usage,
