--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -56,7 +56,8 @@
 /// Why a proposal was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica is the leader, or leadership is being transferred. The hint is `None` if the leader is unknown.
+    /// Another replica is the leader, or leadership is being transferred. The hint is `None` if no other leader is
+    /// known.
     #[error("this replica is not the leader")]
     NotLeader(Option<ReplicaId>),
     /// An earlier membership change, or the first entry of this leader, is not yet committed.
