--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -1,97 +1,99 @@
-//! Whether a replica's host takes one more request, by how long records wait for its disk and how much memory they hold.
+//! Admission control of a replica's host, by the queueing delay of its disk and the memory held by queued records.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use sumacdrift_types::Timestamp;
 
-/// How long records may wait for the disk until turns that want to begin are turned away. A sync takes
-/// milliseconds; callers ask other members after at most 300 ms anyhow, and what waits longer is answered in vain.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
-/// Time of work over which it is seen how much the disk takes: some syncs.
-const RATE_SEEN_OVER: Duration = Duration::from_millis(20);
-/// Weight of a new observation of that.
-const LEARNING_RATE: f64 = 0.3;
+/// Queueing delay of the disk from which new turns are rejected. A sync takes milliseconds, and callers try other
+/// members after at most 300 ms, so that later replies are of no use.
+const MAX_QUEUE_DELAY: Duration = Duration::from_millis(250);
+/// Minimum busy time over which the disk's throughput is measured; covers several syncs.
+const MIN_RATE_SAMPLE_TIME: Duration = Duration::from_millis(20);
+/// Weight of a new throughput sample in the moving average.
+const RATE_SMOOTHING: f64 = 0.3;
 
-/// What kind of request it is.
+/// Class of a request for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestClass {
-    /// A turn wants to begin: its caller has lost nothing yet and can be sent to another member.
+    /// Begins a turn. Rejecting it loses no work, and the caller can try another member.
     NewWork,
-    /// Whatever ends, moves or reads what is there.
+    /// Ends turns, transfers records or reads them.
     Other,
 }
 
-/// Records that wait for the disk.
+/// Admission state: the records queued for the disk and its throughput.
 #[derive(Debug, Clone)]
 pub struct HostAdmission {
-    most_bytes: usize,
+    max_bytes: usize,
     bytes: usize,
-    /// When each batch that waits was queued, oldest first, with its size.
-    waiting: VecDeque<(Timestamp, usize)>,
-    /// Since when the disk has been at work without a pause, and what it took since.
-    at_work_since: Timestamp,
-    written_since: usize,
-    /// Bytes that the disk takes in a second, once it was seen.
-    rate: Option<f64>,
+    /// Time of enqueueing and size of each queued batch, oldest first.
+    queue: VecDeque<(Timestamp, usize)>,
+    /// Start of the current throughput sample; the disk has been busy ever since.
+    busy_since: Timestamp,
+    written_while_busy: usize,
+    /// Smoothed disk throughput; `None` before the first sample.
+    bytes_per_second: Option<f64>,
 }
 
 impl HostAdmission {
-    /// Nothing waits yet; records that wait may hold so many bytes.
-    pub fn new(most_bytes: usize) -> Self {
+    /// Creates an empty queue limited to this many bytes.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most_bytes,
+            max_bytes,
             bytes: 0,
-            waiting: VecDeque::new(),
-            at_work_since: Timestamp::default(),
-            written_since: 0,
-            rate: None,
+            queue: VecDeque::new(),
+            busy_since: Timestamp::default(),
+            written_while_busy: 0,
+            bytes_per_second: None,
         }
     }
 
-    /// Whether a request of so many bytes is taken.
+    /// Whether to admit a request that enqueues this many bytes. An empty queue accepts a request of any size.
     pub fn takes(&self, class: RequestClass, bytes: usize, now: Timestamp) -> bool {
-        let has_room = self.waiting.is_empty() || self.bytes + bytes <= self.most_bytes;
-        has_room && !(class == RequestClass::NewWork && self.is_late(now))
+        let has_capacity = self.queue.is_empty() || self.bytes + bytes <= self.max_bytes;
+        has_capacity && !(class == RequestClass::NewWork && self.exceeds_queue_delay(now))
     }
 
-    /// Whether what is queued now would wait too long: by what waits and what the disk takes (Little's law), or because
-    /// the disk stands still.
-    fn is_late(&self, now: Timestamp) -> bool {
-        let stands_still = self.waiting.front().is_some_and(|(queued, _)| now.since(*queued) >= LONGEST_WAIT);
-        let expected = self.rate.map_or(0.0, |rate| self.bytes as f64 / rate);
-        stands_still || expected >= LONGEST_WAIT.as_secs_f64()
+    /// Whether a batch enqueued now would wait too long, because of the queue's length at the current throughput
+    /// (Little's law) or because the disk is stalled.
+    fn exceeds_queue_delay(&self, now: Timestamp) -> bool {
+        let is_stalled = self.queue.front().is_some_and(|(queued, _)| now.since(*queued) >= MAX_QUEUE_DELAY);
+        let expected =
+            self.bytes_per_second.map_or(0.0, |bytes_per_second| self.bytes as f64 / bytes_per_second);
+        is_stalled || expected >= MAX_QUEUE_DELAY.as_secs_f64()
     }
 
-    /// A batch of records was queued.
+    /// Accounts for a batch that was enqueued.
     pub fn queued(&mut self, bytes: usize, now: Timestamp) {
-        if self.waiting.is_empty() {
-            (self.at_work_since, self.written_since) = (now, 0);
+        if self.queue.is_empty() {
+            (self.busy_since, self.written_while_busy) = (now, 0);
         }
         self.bytes += bytes;
-        self.waiting.push_back((now, bytes));
+        self.queue.push_back((now, bytes));
     }
 
-    /// The oldest batch is durable, or failed: the disk takes them in order.
+    /// Accounts for the oldest batch, which was written or failed; the disk processes batches in order.
     pub fn written(&mut self, now: Timestamp) {
-        let Some((_, bytes)) = self.waiting.pop_front() else { return };
+        let Some((_, bytes)) = self.queue.pop_front() else { return };
         self.bytes -= bytes;
-        self.written_since += bytes;
-        let worked = now.since(self.at_work_since);
-        if worked.is_zero() {
+        self.written_while_busy += bytes;
+        let busy_time = now.since(self.busy_since);
+        if busy_time.is_zero() {
             return;
         }
-        let seen = self.written_since as f64 / worked.as_secs_f64();
-        // A short time of work shows the least that the disk takes: it may have had nothing more to do.
-        let is_faster = self.waiting.is_empty() && self.rate.is_some_and(|rate| seen > rate);
-        if worked >= RATE_SEEN_OVER || is_faster {
-            let rate = self.rate.get_or_insert(seen);
-            *rate += LEARNING_RATE * (seen - *rate);
-            (self.at_work_since, self.written_since) = (now, 0);
+        let sample = self.written_while_busy as f64 / busy_time.as_secs_f64();
+        // A short sample is only a lower bound of the throughput, as the disk may have run out of work.
+        let is_faster = self.queue.is_empty()
+            && self.bytes_per_second.is_some_and(|bytes_per_second| sample > bytes_per_second);
+        if busy_time >= MIN_RATE_SAMPLE_TIME || is_faster {
+            let bytes_per_second = self.bytes_per_second.get_or_insert(sample);
+            *bytes_per_second += RATE_SMOOTHING * (sample - *bytes_per_second);
+            (self.busy_since, self.written_while_busy) = (now, 0);
         }
     }
 
-    /// Bytes that wait.
+    /// Bytes in the queue.
     pub fn waiting_bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/ledger/src/begin.rs
+++ b/crates/ledger/src/begin_quorum.rs
@@ -1,91 +1,91 @@
-//! The decision whether a turn may begin, from the votes of replicas.
+//! Admission of a turn by a quorum of replica votes.
 
 use std::collections::BTreeMap;
 
 use crate::message::{BeginVote, ChainReply, KnownTurn};
 
-/// What the votes so far allow.
+/// Decision based on the votes received so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginDecision {
     /// More votes are needed.
     Pending,
-    /// The turn may run.
+    /// The turn may begin.
     Admitted,
-    /// One more turn does not fit the budget.
+    /// The turn does not fit the remaining budget.
     BudgetSpent,
-    /// A majority does not know the earlier turn, so it can't have been committed.
+    /// No replica of a majority stores the preceding turn, so it was never committed.
     UnknownPrevious,
 }
 
-/// Gathers votes on one turn.
+/// Collects votes on one turn.
 ///
-/// A turn is admitted when a majority recorded it, each by itself found that it fits, and it also fits what they
-/// know together. Every turn admitted before is known to at least one of the majority. Of turns that begin at the
-/// same time each pair has met at some replica, so at least one of them has counted the other; with up to five at a
-/// time (four, where there are five replicas) the budget is overrun by at most one turn.
+/// A turn is admitted when each replica of a majority has recorded it and found that it fits the budget, and it also
+/// fits the union of the turns that they know. At least one of the majority knows every turn admitted before. Any two
+/// concurrent turns share a replica, so at least one of them has been charged for the other; with up to five concurrent
+/// turns (four in a group of five replicas) the budget is exceeded by at most one turn.
 #[derive(Debug, Clone)]
 pub struct BeginQuorum {
     majority: usize,
     budget_tokens: u64,
     most_tokens: u64,
     votes: usize,
-    fitting: usize,
-    not_fitting: usize,
-    knowing_previous: usize,
+    fitting_votes: usize,
+    rejecting_votes: usize,
+    votes_with_previous: usize,
     known: BTreeMap<String, KnownTurn>,
     chain: Option<ChainReply>,
 }
 
 impl BeginQuorum {
-    /// No votes yet. A budget of 0 is none.
+    /// Creates a quorum without votes. A budget of 0 is unlimited.
     pub fn new(majority: usize, budget_tokens: u64, most_tokens: u64) -> Self {
         Self {
             majority,
             budget_tokens,
             most_tokens,
             votes: 0,
-            fitting: 0,
-            not_fitting: 0,
-            knowing_previous: 0,
+            fitting_votes: 0,
+            rejecting_votes: 0,
+            votes_with_previous: 0,
             known: BTreeMap::new(),
             chain: None,
         }
     }
 
-    /// Takes a vote in.
+    /// Adds the vote of one replica; each replica must vote only once.
     pub fn vote(&mut self, vote: BeginVote) -> BeginDecision {
         self.votes += 1;
         if vote.fits {
-            self.fitting += 1;
+            self.fitting_votes += 1;
         } else {
-            self.not_fitting += 1;
+            self.rejecting_votes += 1;
         }
         if vote.knows_previous {
-            self.knowing_previous += 1;
+            self.votes_with_previous += 1;
         }
         for turn in vote.known {
-            self.learn(turn);
+            self.merge_known_turn(turn);
         }
         self.chain = self.chain.take().or(vote.chain);
         self.decision()
     }
 
-    /// Content of the chain, where a vote brought it.
+    /// Takes the content of the chain, if a vote included it.
     pub fn take_chain(&mut self) -> Option<ChainReply> {
         self.chain.take()
     }
 
-    /// Votes so far.
+    /// Number of votes received.
     pub fn votes(&self) -> usize {
         self.votes
     }
 
-    /// Tokens of all other turns, by everything the voters know.
+    /// Tokens charged for all other turns of the program, by the union of what the voters know.
     pub fn counted_tokens(&self) -> u64 {
         self.known.values().map(|turn| turn.tokens).sum()
     }
 
-    fn learn(&mut self, turn: KnownTurn) {
+    fn merge_known_turn(&mut self, turn: KnownTurn) {
         match self.known.get_mut(&turn.turn) {
             None => {
                 self.known.insert(turn.turn.clone(), turn);
@@ -97,20 +97,20 @@
     }
 
     fn decision(&self) -> BeginDecision {
-        if self.not_fitting >= self.majority {
+        if self.rejecting_votes >= self.majority {
             return BeginDecision::BudgetSpent;
         }
         if self.votes < self.majority {
             return BeginDecision::Pending;
         }
-        if self.knowing_previous == 0 {
+        if self.votes_with_previous == 0 {
             return BeginDecision::UnknownPrevious;
         }
-        let fits_union =
+        let fits_budget =
             self.budget_tokens == 0 || self.counted_tokens() + self.most_tokens <= self.budget_tokens;
-        if !fits_union {
+        if !fits_budget {
             return BeginDecision::BudgetSpent;
         }
-        if self.fitting >= self.majority { BeginDecision::Admitted } else { BeginDecision::Pending }
+        if self.fitting_votes >= self.majority { BeginDecision::Admitted } else { BeginDecision::Pending }
     }
 }
--- a/crates/ledger/src/chain.rs
+++ b/crates/ledger/src/chain.rs
@@ -1,32 +1,32 @@
-//! Putting a chain of turns together from what several replicas know.
+//! Assembly of a chain of turns from the replies of several replicas.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::message::{ChainReply, RetainedTurn};
 
-/// What is still needed.
+/// Result of adding a reply to a chain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChainStep {
-    /// The chain is whole.
+    /// All turns of the chain are known.
     Whole,
-    /// Another replica must be asked for this turn and those before it.
+    /// Name of the oldest turn known by name only. Another replica must be asked for it and its predecessors.
     Missing(String),
 }
 
-/// A chain, newest turn first.
+/// Chain under assembly, newest turn first.
 #[derive(Debug, Clone, Default)]
 pub struct ChainAssembly {
     turns: Vec<RetainedTurn>,
 }
 
 impl ChainAssembly {
-    /// Adds what a replica knew.
+    /// Appends the turns of a reply, which continue the chain at its oldest end.
     pub fn add(&mut self, reply: ChainReply) -> ChainStep {
         self.turns.extend(reply.turns);
         if reply.missing.is_empty() { ChainStep::Whole } else { ChainStep::Missing(reply.missing) }
     }
 
-    /// The prompt so far: of each turn, oldest first, what was sent and what was generated.
+    /// Concatenates the input and output of each turn, oldest first, and `new_input`.
     pub fn into_prompt(self, new_input: &[u8]) -> Bytes {
         let length: usize = self.turns.iter().map(|turn| turn.input.len() + turn.output.len()).sum();
         let mut prompt = BytesMut::with_capacity(length + new_input.len());
--- a/crates/ledger/src/group.rs
+++ b/crates/ledger/src/group.rs
@@ -1,4 +1,4 @@
-//! Which replicas form a group.
+//! Membership of a replica group.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,108 +7,108 @@
 
 use crate::message::{GroupMessage, MemberMessage};
 
-/// A member of a group.
+/// Member of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Member {
-    /// Name of the node.
     pub node: String,
-    /// Where it answers other nodes.
+    /// Address for requests of other nodes.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: String,
-    /// Epoch at which it joined. A machine that left and joined again is another member.
+    /// Epoch at which it joined. A machine that left and rejoined is a different member.
     pub joined: u64,
 }
 
-/// Number of a group among all groups of the ledger; the first one is 0.
+/// Index of a group in the ledger, starting at 0.
 pub type GroupNumber = u32;
 
-/// A group of replicas. Its epoch rises with each change.
+/// Group of replicas. Its epoch increases with each change.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
+#[allow(missing_docs)]
 pub struct Group {
-    /// Which of the groups it is.
     pub number: GroupNumber,
-    /// Version of the group; 0 where there is none yet.
+    /// Version of the group; 0 if there is no group yet.
     pub epoch: u64,
-    /// The members.
     pub members: Vec<Member>,
 }
 
-/// Epoch of the first group.
+/// Epoch of the first version of a group.
 pub(crate) const FOUNDING_EPOCH: u64 = 1;
 
 impl Group {
-    /// The only group of a small ledger, at its first epoch.
+    /// First version of the only group of a ledger.
     pub fn founded(members: Vec<Member>) -> Group {
         Self::founded_as(0, members)
     }
 
-    /// A group at its first epoch.
+    /// First version of a group.
     pub fn founded_as(number: GroupNumber, members: Vec<Member>) -> Group {
         let founders = members.into_iter().map(|member| Member { joined: FOUNDING_EPOCH, ..member });
-        Group { number, epoch: FOUNDING_EPOCH, members: sorted(founders.collect()) }
+        Group { number, epoch: FOUNDING_EPOCH, members: sorted_by_node(founders.collect()) }
     }
 
-    /// Members that must have a record before it holds.
+    /// Number of members that must store a record before it is committed.
     pub fn majority(&self) -> usize {
-        majority_of(self.members.len())
+        majority_size(self.members.len())
     }
 
-    /// Other members that a replica without records must have read before it may vote, where every member may have
+    /// Number of other members that a replica without records must read before it may vote, if every member may have
     /// voted.
-    pub fn sources_to_catch_up(&self) -> usize {
-        self.sources_besides(&BTreeSet::new(), "")
+    pub fn required_sources(&self) -> usize {
+        self.required_sources_except(&BTreeSet::new(), "")
     }
 
-    /// Other members that a replica without records must have read before it may vote: one more than can lack a
-    /// record that was acknowledged.
+    /// Number of other members that a replica without records must read before it may vote: one more than the number of
+    /// members that may lack a committed record.
     ///
-    /// Members that joined and never voted acknowledged nothing. So every record is at a majority of the members
-    /// without them, which is the smaller group that they joined.
-    pub(crate) fn sources_besides(&self, never_voted: &BTreeSet<String>, own: &str) -> usize {
+    /// Members that have never voted have acknowledged no records. So every committed record is stored by a majority of
+    /// the other members, which form the smaller group that they joined.
+    pub(crate) fn required_sources_except(&self, never_voted: &BTreeSet<String>, own: &str) -> usize {
         if is_broken(Rule::LedgerReadsEnough) {
             return 1;
         }
         let may_have_voted = self.members.iter().filter(|member| !never_voted.contains(&member.node));
         let (voters, others) = may_have_voted
             .fold((0, 0), |(voters, others), member| (voters + 1, others + usize::from(member.node != own)));
-        let may_lack = voters - majority_of(voters).min(voters);
+        let may_lack = voters - majority_size(voters).min(voters);
         let others = if own.is_empty() { voters.saturating_sub(1) } else { others };
         (may_lack + 1).min(others)
     }
 
-    /// The member of that name.
+    /// Finds a member by the name of its node.
     pub fn member(&self, node: &str) -> Option<&Member> {
         self.members.iter().find(|member| member.node == node)
     }
 
-    /// The next group, with one member more, who joins with it; a member of the same name is replaced.
+    /// Next version of the group with a new member, which joins at its epoch. Replaces a member of the same name.
     pub fn with(&self, member: Member) -> Group {
         let mut next = self.without(&member.node);
         next.members.push(Member { joined: next.epoch, ..member });
-        next.members = sorted(next.members);
+        next.members = sorted_by_node(next.members);
         next
     }
 
-    /// The next group, with one member in the place of another.
-    pub fn replacing(&self, lost: &str, member: Member) -> Group {
-        Group { epoch: self.epoch, ..self.without(lost) }.with(member)
+    /// Next version of the group with a new member instead of a lost one.
+    pub fn with_replacement(&self, lost: &str, replacement: Member) -> Group {
+        Group { epoch: self.epoch, ..self.without(lost) }.with(replacement)
     }
 
-    /// The next group, without a member.
+    /// Next version of the group without a member.
     pub fn without(&self, node: &str) -> Group {
         let members = self.members.iter().filter(|member| member.node != node).cloned().collect();
         Group { number: self.number, epoch: self.epoch + 1, members }
     }
 
-    /// Members of an earlier version of the group that are not in this one and have nobody in their place.
+    /// Nodes of members of an earlier version that were removed without a replacement; empty if the group did not
+    /// shrink.
     pub fn departed_since(&self, earlier: &Group) -> Vec<String> {
         let is_shrunk = self.number == earlier.number && self.members.len() < earlier.members.len();
-        let gone = earlier.members.iter().filter(|member| is_shrunk && self.member(&member.node).is_none());
-        gone.map(|member| member.node.clone()).collect()
+        let departed =
+            earlier.members.iter().filter(|member| is_shrunk && self.member(&member.node).is_none());
+        departed.map(|member| member.node.clone()).collect()
     }
 
-    /// The group as a message.
+    /// Converts the group to its wire form.
     pub fn to_message(&self) -> GroupMessage {
         let members = self.members.iter().map(|member| MemberMessage {
             node: member.node.clone(),
@@ -119,7 +119,7 @@
         GroupMessage { epoch: self.epoch, members: members.collect(), number: self.number }
     }
 
-    /// The group of a message; `None` where an address can't be read.
+    /// Converts a group from its wire form; `None` if an address is invalid.
     pub fn from_message(message: &GroupMessage) -> Option<Group> {
         let members = message.members.iter().map(|member| {
             let address = member.address.parse().ok()?;
@@ -131,11 +131,11 @@
     }
 }
 
-fn majority_of(members: usize) -> usize {
+fn majority_size(members: usize) -> usize {
     members / 2 + 1
 }
 
-fn sorted(mut members: Vec<Member>) -> Vec<Member> {
+fn sorted_by_node(mut members: Vec<Member>) -> Vec<Member> {
     members.sort_by(|left, right| left.node.cmp(&right.node));
     members
 }
--- a/crates/ledger/src/map.rs
+++ b/crates/ledger/src/group_map.rs
@@ -1,4 +1,4 @@
-//! All groups of the ledger, and which of them a program belongs to.
+//! All groups of the ledger, and the assignment of programs to them.
 
 use std::sync::Arc;
 
@@ -7,80 +7,80 @@
 use crate::group::{Group, GroupNumber, Member};
 use crate::message::GroupMapMessage;
 
-/// All groups. Their number never changes; each group changes by itself, and of two versions of a group the one of the
-/// higher epoch counts. A node is a member of one group at the most.
+/// All groups of the ledger. Their count never changes. Groups change independently, and of two versions of a group the
+/// one with the higher epoch applies. A node is a member of at most one group.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct GroupMap {
     groups: Vec<Arc<Group>>,
 }
 
 impl GroupMap {
-    /// These groups, by number.
+    /// Creates a map of groups, which must be ordered by number.
     pub fn new(groups: Vec<Group>) -> Self {
         Self { groups: groups.into_iter().map(Arc::new).collect() }
     }
 
-    /// Whether no group is known.
+    /// Whether the map has no groups.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// The groups, by number.
+    /// Groups, ordered by number.
     pub fn groups(&self) -> &[Arc<Group>] {
         &self.groups
     }
 
-    /// A group.
+    /// Group of a number.
     pub fn group(&self, number: GroupNumber) -> Option<&Arc<Group>> {
         self.groups.get(usize::try_from(number).unwrap_or(usize::MAX))
     }
 
-    /// The group of a program: it follows from the program's name alone. `None` where no group is known.
+    /// Group of a program, determined by a hash of its name. `None` if the map is empty.
     pub fn group_of(&self, program: &str) -> Option<&Arc<Group>> {
         let count = self.groups.len() as u64;
         let number = stable_hash(&[program.as_bytes()]).checked_rem(count)?;
         self.groups.get(usize::try_from(number).unwrap_or(usize::MAX))
     }
 
-    /// The group that a node is a member of.
+    /// Group that a node is a member of.
     pub fn seat_of(&self, node: &str) -> Option<&Arc<Group>> {
         self.groups.iter().find(|group| group.member(node).is_some())
     }
 
-    /// Members of all groups.
+    /// Iterates over the members of all groups.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.groups.iter().flat_map(|group| &group.members)
     }
 
-    /// The map with a group in the place of that of the same number.
+    /// Copy of the map in which a group replaces that of the same number.
     pub fn with(&self, group: Group) -> Self {
         let mut next = self.clone();
-        let place = usize::try_from(group.number).unwrap_or(usize::MAX);
-        if let Some(known) = next.groups.get_mut(place) {
-            *known = Arc::new(group);
+        let index = usize::try_from(group.number).unwrap_or(usize::MAX);
+        if let Some(current) = next.groups.get_mut(index) {
+            *current = Arc::new(group);
         }
         next
     }
 
-    /// Adopts a newer version of a group; the first group of a map that is empty becomes its only one. Returns whether
-    /// it was news.
+    /// Adopts a group if it is newer than the current version. An empty map accepts only group 0. Returns whether the
+    /// map changed.
     pub fn learn(&mut self, group: impl Into<Arc<Group>>) -> bool {
         let group = group.into();
         if self.groups.is_empty() && group.number == 0 && group.epoch > 0 {
             self.groups.push(group);
             return true;
         }
-        let place = usize::try_from(group.number).unwrap_or(usize::MAX);
-        match self.groups.get_mut(place) {
-            Some(known) if group.epoch > known.epoch => {
-                *known = group;
+        let index = usize::try_from(group.number).unwrap_or(usize::MAX);
+        match self.groups.get_mut(index) {
+            Some(current) if group.epoch > current.epoch => {
+                *current = group;
                 true
             }
             _ => false,
         }
     }
 
-    /// Adopts whatever is newer in another map; returns whether anything was.
+    /// Adopts the newer groups of another map; returns whether the map changed.
     pub fn merge(&mut self, other: &GroupMap) -> bool {
         if self.groups.len() < other.groups.len() {
             self.groups.clone_from(&other.groups);
@@ -90,12 +90,12 @@
         newer.count() > 0
     }
 
-    /// The map as a message.
+    /// Converts the map to its wire form.
     pub fn to_message(&self) -> GroupMapMessage {
         GroupMapMessage { groups: self.groups.iter().map(|group| group.to_message()).collect() }
     }
 
-    /// The map of a message; `None` where it can't be read.
+    /// Converts a map from its wire form; `None` if a group is invalid or out of order.
     pub fn from_message(message: &GroupMapMessage) -> Option<Self> {
         let groups = message.groups.iter().map(Group::from_message).collect::<Option<Vec<_>>>()?;
         let is_in_order = groups.iter().zip(0..).all(|(group, number)| group.number == number);
--- a/crates/ledger/src/member_watch.rs
+++ b/crates/ledger/src/member_watch.rs
@@ -1,4 +1,4 @@
-//! What a machine knows of the members of groups by asking them, and which of them count as lost by that.
+//! Failure detection: status of group members from polling them, and which members count as lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,157 +7,172 @@
 use sumacdrift_types::Timestamp;
 
 use crate::group::{Group, Member};
-use crate::plan::{LOST_AFTER, Patience};
+use crate::placement::{LOST_AFTER, Patience};
 
-/// A member that has answered nothing for this long is given up where no machine took its place: spare machines look each
-/// second and ask for it up to half a second after [`LOST_AFTER`], and the store may let one call wait.
-const GIVEN_UP_AFTER: Duration = Duration::from_secs(9);
+/// Time without an answer after which a member is removed if no machine replaced it. Spare machines poll each second
+/// and request the replacement up to half a second after [`LOST_AFTER`], and one call to the store may be delayed.
+const REMOVED_AFTER: Duration = Duration::from_secs(9);
 
-/// What a member tells of itself and of the others.
+/// Report of a member on itself and the other members.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct MemberTold {
-    /// Whether it votes.
     pub is_voting: bool,
-    /// Whether it is about to stop and offers its seat.
+    /// Whether it is shutting down and gives up its membership.
     pub offers_seat: bool,
-    /// How long each member that it finds silent has said nothing to it; `None` where it doesn't look.
+    /// Time since the last answer of each member that does not answer it; `None` if it does not monitor the others.
     pub silent: Option<BTreeMap<String, Duration>>,
 }
 
-/// What a member said when it was last asked.
+/// Status of a member after the last poll.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Heard {
-    at: Timestamp,
-    is_silent: bool,
-    /// What it told last; nothing while it is silent.
-    told: MemberTold,
-    /// Whether the last that it said was that it stops as planned.
-    said_it_stops: bool,
+struct Observation {
+    /// Time of the last answer, or of the first unanswered poll if there was no answer yet.
+    answered_at: Timestamp,
+    is_unresponsive: bool,
+    /// Last report; empty while the member is unresponsive.
+    report: MemberTold,
+    /// Whether its latest message announced a planned shutdown.
+    has_announced_stop: bool,
 }
 
-impl Heard {
-    /// How long it has found another member silent; `None` where it doesn't look.
-    fn finds_silent_for(&self, node: &str, now: Timestamp) -> Option<Duration> {
-        let silent = self.told.silent.as_ref()?;
-        // What it said then is older now.
-        Some(silent.get(node).map(|silence| *silence + now.since(self.at)).unwrap_or_default())
+impl Observation {
+    /// Time for which another member has not answered this one; `None` if it does not monitor the others.
+    fn unresponsive_time_of(&self, node: &str, now: Timestamp) -> Option<Duration> {
+        let silent = self.report.silent.as_ref()?;
+        // The report has aged since it was received.
+        Some(silent.get(node).map(|silence| *silence + now.since(self.answered_at)).unwrap_or_default())
     }
 }
 
-/// When members of the group answered last, as one machine sees it.
+/// Status of group members as observed by one machine.
 #[derive(Debug, Clone, Default)]
 pub struct MemberWatch {
-    heard: BTreeMap<String, Heard>,
+    observations: BTreeMap<String, Observation>,
 }
 
 impl MemberWatch {
-    /// A member answered. Returns whether it was silent before.
-    pub fn answered(&mut self, node: &str, told: MemberTold, now: Timestamp) -> bool {
-        let said_it_stops = told.offers_seat;
-        let heard = Heard { at: now, is_silent: false, told, said_it_stops };
-        let before = self.heard.insert(node.to_owned(), heard);
-        before.is_some_and(|before| before.is_silent)
+    /// Records an answer. Returns whether the member was unresponsive before.
+    pub fn answered(&mut self, node: &str, report: MemberTold, now: Timestamp) -> bool {
+        let has_announced_stop = report.offers_seat;
+        let observation =
+            Observation { answered_at: now, is_unresponsive: false, report, has_announced_stop };
+        let before = self.observations.insert(node.to_owned(), observation);
+        before.is_some_and(|before| before.is_unresponsive)
     }
 
-    /// A member said that it stops as planned.
+    /// Records that a known member announced a planned shutdown.
     pub fn stops(&mut self, node: &str) {
-        if let Some(heard) = self.heard.get_mut(node) {
-            heard.said_it_stops = true;
+        if let Some(observation) = self.observations.get_mut(node) {
+            observation.has_announced_stop = true;
         }
     }
 
-    /// A member did not answer. Returns whether that is news.
+    /// Records a missing answer. Returns whether it is the first in a row.
     pub fn silent(&mut self, node: &str, now: Timestamp) -> bool {
-        let unknown = Heard { at: now, is_silent: false, told: MemberTold::default(), said_it_stops: false };
-        let heard = self.heard.entry(node.to_owned()).or_insert(unknown);
-        let is_news = !heard.is_silent;
-        heard.is_silent = true;
-        heard.told = MemberTold::default();
-        is_news
+        let unknown = Observation {
+            answered_at: now,
+            is_unresponsive: false,
+            report: MemberTold::default(),
+            has_announced_stop: false,
+        };
+        let observation = self.observations.entry(node.to_owned()).or_insert(unknown);
+        let is_first = !observation.is_unresponsive;
+        observation.is_unresponsive = true;
+        observation.report = MemberTold::default();
+        is_first
     }
 
-    /// Forgets machines that are not looked at any more.
-    pub fn keep_only(&mut self, looked_at: &[&Member]) {
-        self.heard.retain(|node, _| looked_at.iter().any(|member| member.node == *node));
+    /// Removes machines that are no longer monitored.
+    pub fn keep_only(&mut self, monitored: &[&Member]) {
+        self.observations.retain(|node, _| monitored.iter().any(|member| member.node == *node));
     }
 
-    /// Whether any member of a group says nothing.
-    pub(crate) fn finds_any_silent(&self, group: &Group) -> bool {
-        let heard = |member: &Member| self.heard.get(&member.node);
-        group.members.iter().filter_map(heard).any(|heard| heard.is_silent)
+    pub(crate) fn has_unresponsive_member(&self, group: &Group) -> bool {
+        let observation = |member: &Member| self.observations.get(&member.node);
+        group.members.iter().filter_map(observation).any(|observation| observation.is_unresponsive)
     }
 
-    /// How long each member that is silent has said nothing.
+    /// Time since the last answer of each unresponsive member.
     pub fn silences(&self, now: Timestamp) -> BTreeMap<String, Duration> {
-        let silent = self.heard.iter().filter(|(_, heard)| heard.is_silent);
-        silent.map(|(node, heard)| (node.clone(), now.since(heard.at))).collect()
+        let silent = self.observations.iter().filter(|(_, observation)| observation.is_unresponsive);
+        silent.map(|(node, observation)| (node.clone(), now.since(observation.answered_at))).collect()
     }
 
-    /// Members whose places may be taken: they are lost, and those that answer and vote are enough for the machine that
-    /// takes a place to read everything.
+    /// Members that may be replaced: they are lost, and enough voting members answer for the replacement to read all
+    /// records.
     ///
-    /// A machine that has just come has heard nothing for long itself, so what counts is what the voting members say:
-    /// one that any of them hears is cut off from this machine only. Where none of them looks, the machine's own
-    /// watch counts, with the longest patience.
-    pub(crate) fn lost(
+    /// A machine that has just started has no history of its own, so the reports of the voting members decide: a member
+    /// that answers any of them is only unreachable from this machine. If none of them monitors the others, this
+    /// machine's own observation decides, with the longest timeout.
+    pub(crate) fn replaceable_members(
         &self,
         group: &Group,
         patience: Patience,
         now: Timestamp,
     ) -> impl Iterator<Item = String> {
-        let heard = |member: &Member| self.heard.get(&member.node);
-        // Who offers its seat is about to go.
-        let stays_and_votes = |heard: &&Heard| heard.told.is_voting && !heard.told.offers_seat;
-        let voting: Vec<&Heard> = group.members.iter().filter_map(heard).filter(stays_and_votes).collect();
-        let may_be_read = voting.len() >= group.sources_to_catch_up();
+        let observation = |member: &Member| self.observations.get(&member.node);
+        // A member that offers its seat is about to shut down.
+        let is_source =
+            |observation: &&Observation| observation.report.is_voting && !observation.report.offers_seat;
+        let voting: Vec<&Observation> =
+            group.members.iter().filter_map(observation).filter(is_source).collect();
+        let has_enough_sources = voting.len() >= group.required_sources();
         let is_lost = move |member: &&Member| {
-            let Some(own) = heard(member) else { return false };
-            if own.told.offers_seat && patience.takes_offers {
+            let Some(own) = observation(member) else { return false };
+            if own.report.offers_seat && patience.accepts_offered_seats {
                 return true;
             }
-            if !own.is_silent {
+            if !own.is_unresponsive {
                 return false;
             }
-            let witnesses = voting.iter().filter_map(|witness| witness.finds_silent_for(&member.node, now));
-            let own_silence = now.since(own.at);
-            match witnesses.min() {
-                Some(least) if !is_broken(Rule::LedgerLostHasWitnesses) => least >= patience.lost_after,
-                Some(_) => own_silence >= patience.lost_after,
-                None => own_silence >= LOST_AFTER,
+            let reported_times =
+                voting.iter().filter_map(|witness| witness.unresponsive_time_of(&member.node, now));
+            let own_unresponsive_time = now.since(own.answered_at);
+            match reported_times.min() {
+                Some(shortest) if !is_broken(Rule::LedgerLostHasWitnesses) => shortest >= patience.lost_after,
+                Some(_) => own_unresponsive_time >= patience.lost_after,
+                None => own_unresponsive_time >= LOST_AFTER,
             }
         };
-        let lost = group.members.iter().filter(is_lost).filter(move |_| may_be_read);
+        let lost = group.members.iter().filter(is_lost).filter(move |_| has_enough_sources);
         lost.map(|member| member.node.clone()).collect::<Vec<_>>().into_iter()
     }
 
-    /// A member that is gone and whose place nobody takes, as a voting member of its group sees it: all others answer, vote
-    /// and have found it silent for long, too. One that said that it stops is waited for no longer than a new machine would,
-    /// another one for longer than spare machines take.
-    pub(crate) fn given_up(
+    /// A lost member that no machine replaced, as seen by a voting member of its group: all others answer, vote and
+    /// have not had an answer from it for long either. A member that announced its shutdown is removed after
+    /// `removed_after_stop`, any other one after a time in which a spare machine would have replaced it.
+    pub(crate) fn member_to_remove(
         &self,
         group: &Group,
         own: &str,
-        stopped_for: Duration,
+        removed_after_stop: Duration,
         now: Timestamp,
     ) -> Option<String> {
         let others = || group.members.iter().filter(|member| member.node != own);
-        let is_gone = |gone: &&Member| {
-            let Some(heard) = self.heard.get(&gone.node).filter(|heard| heard.is_silent) else {
+        let is_removable = |lost: &&Member| {
+            let Some(observation) =
+                self.observations.get(&lost.node).filter(|observation| observation.is_unresponsive)
+            else {
                 return false;
             };
-            let enough = if heard.said_it_stops { stopped_for } else { GIVEN_UP_AFTER };
-            let mut witnesses = others().filter(|member| member.node != gone.node);
-            now.since(heard.at) >= enough && witnesses.all(|witness| self.agrees(witness, gone, enough, now))
+            let required = if observation.has_announced_stop { removed_after_stop } else { REMOVED_AFTER };
+            let mut witnesses = others().filter(|member| member.node != lost.node);
+            now.since(observation.answered_at) >= required
+                && witnesses.all(|witness| self.confirms_loss(witness, lost, required, now))
         };
-        others().find(is_gone).map(|gone| gone.node.clone())
+        others().find(is_removable).map(|lost| lost.node.clone())
     }
 
-    /// Whether a member answers, votes, and has found another one silent for so long.
-    fn agrees(&self, witness: &Member, gone: &Member, enough: Duration, now: Timestamp) -> bool {
-        let Some(heard) = self.heard.get(&witness.node).filter(|heard| !heard.is_silent) else {
+    /// Whether a member answers, votes, and reports another one as unresponsive for the required time.
+    fn confirms_loss(&self, witness: &Member, lost: &Member, required: Duration, now: Timestamp) -> bool {
+        let Some(observation) =
+            self.observations.get(&witness.node).filter(|observation| !observation.is_unresponsive)
+        else {
             return false;
         };
-        let finds_gone = heard.finds_silent_for(&gone.node, now).is_some_and(|silence| silence >= enough);
-        heard.told.is_voting && finds_gone
+        let confirms =
+            observation.unresponsive_time_of(&lost.node, now).is_some_and(|silence| silence >= required);
+        observation.report.is_voting && confirms
     }
 }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,444 +1,432 @@
-//! Messages between callers' nodes and replicas, and the records that replicas keep. All are protocol buffers.
+//! Messages between nodes and ledger replicas, and the records that replicas store, encoded as protocol buffers.
 
 use bytes::Bytes;
 
 use crate::quota_message::{QuotaAnswer, QuotaQuestion, QuotaTotals};
 
-/// A turn was begun: until its end is known, it counts with the most that it may generate.
+/// Start of a turn. Until its end is recorded, the turn is charged with `most_tokens`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct TurnBegun {
-    /// The program.
     #[prost(string, tag = "1")]
     pub program: String,
-    /// The turn.
     #[prost(string, tag = "2")]
     pub turn: String,
-    /// Most tokens that the turn generates.
+    /// Maximum number of tokens that the turn may generate.
     #[prost(uint64, tag = "3")]
     pub most_tokens: u64,
-    /// How long the record is kept after the program's last change, in milliseconds.
+    /// Retention of the record after the program's last change, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub retention_millis: u64,
 }
 
-/// A turn ended.
+/// End of a turn.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct TurnEnded {
-    /// The program.
     #[prost(string, tag = "1")]
     pub program: String,
-    /// The turn.
     #[prost(string, tag = "2")]
     pub turn: String,
-    /// Tokens that were handed to the caller.
+    /// Tokens delivered to the caller.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
-    /// How long the record is kept after the program's last change, in milliseconds.
+    /// Retention of the record after the program's last change, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub retention_millis: u64,
-    /// The turn's content, where later turns may go on from it.
+    /// Content of the turn, if later turns may continue from it.
     #[prost(message, optional, tag = "5")]
     pub retained: Option<RetainedTurn>,
 }
 
-/// The content of a turn that ended whole.
+/// Content of a turn that completed, kept as context for later turns.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RetainedTurn {
-    /// The turn that it went on from; empty at the start of a chain.
+    /// Turn that this one continues; empty for the first turn of a chain.
     #[prost(string, tag = "1")]
     pub previous: String,
-    /// What the caller sent.
+    /// Input sent by the caller.
     #[prost(bytes = "bytes", tag = "2")]
     pub input: Bytes,
-    /// What the engine generated, as it goes into later prompts.
+    /// Output of the engine in the form in which it enters later prompts.
     #[prost(bytes = "bytes", tag = "3")]
     pub output: Bytes,
 }
 
-/// One entry of a replica's journal, and of what replicas tell each other.
+/// Entry of a replica's journal; also the unit in which replicas transfer state.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct Record {
-    /// The entry.
     #[prost(oneof = "RecordKind", tags = "1, 2, 3, 4, 5, 6")]
     pub kind: Option<RecordKind>,
-    /// Milliseconds left to keep it, where it travels; time of day of its expiry, where it lies in a journal.
+    /// Remaining lifetime in milliseconds in a message; Unix time of expiry in milliseconds in a journal.
     #[prost(uint64, tag = "15")]
     pub expiry_millis: u64,
 }
 
 impl Record {
-    /// The record as it lies in a journal, of one that travelled and arrived at a time of day.
-    pub(crate) fn arrived(self, now: u64) -> Record {
+    /// Converts a record received at a Unix time in milliseconds to its journal form.
+    pub(crate) fn with_absolute_expiry(self, now: u64) -> Record {
         Record { expiry_millis: self.expiry_millis.saturating_add(now), kind: self.kind }
     }
 }
 
-/// What an entry says.
+/// Content of a record.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
+#[allow(missing_docs)]
 pub enum RecordKind {
-    /// A turn was begun.
     #[prost(message, tag = "1")]
     Begun(TurnBegun),
-    /// A turn ended.
     #[prost(message, tag = "2")]
     Ended(TurnEnded),
-    /// The replica belongs to this group.
+    /// The group that the replica belongs to.
     #[prost(message, tag = "3")]
     Group(GroupMessage),
-    /// The replica's records are complete, or it has never voted.
     #[prost(message, tag = "4")]
     Standing(Standing),
-    /// The newest copy of what another system holds.
     #[prost(message, tag = "5")]
     Copy(StoredCopy),
-    /// Which members have been read.
     #[prost(message, tag = "6")]
     Reading(Reading),
 }
 
-/// What the replica is as the member that joined at this epoch.
+/// Voting state of a replica as the member that joined at an epoch.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Standing {
     /// Epoch at which the member joined.
     #[prost(uint64, tag = "1")]
     pub joined: u64,
-    /// Whether it has never voted as that member. Otherwise it holds every record that it ever acknowledged as it.
+    /// Whether it has never voted as that member. Otherwise it holds every record that it acknowledged as that member.
     #[prost(bool, tag = "2")]
     pub never_voted: bool,
 }
 
-/// Members whose records a replica without a vote has read to the end.
+/// Members whose records a replica without a vote has read completely.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Reading {
-    /// Epoch at which they were read; it says nothing at another one.
+    /// Epoch at which they were read; the entry is void at any other epoch.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Their nodes.
+    /// Node names of these members.
     #[prost(string, repeated, tag = "2")]
     pub sources: Vec<String>,
 }
 
-/// A copy of what another system holds, for nodes that start while it is down. Its content means nothing here.
+/// Cached copy of state owned by another system, for nodes that start while that system is down. The ledger does not
+/// interpret it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct StoredCopy {
-    /// Rises with each change; 0 where there is no copy.
+    /// Version, increasing with each change; 0 if there is no copy.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The content.
     #[prost(bytes = "bytes", tag = "2")]
     pub content: Bytes,
 }
 
-/// A member of a group.
+/// Wire form of [`Member`](crate::Member).
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct MemberMessage {
-    /// Name of the node.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Its address, `IP:PORT`.
+    /// `IP:PORT`.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Its zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Epoch at which it joined.
+    /// Epoch at which the member joined.
     #[prost(uint64, tag = "4")]
     pub joined: u64,
 }
 
-/// A group of replicas.
+/// Wire form of [`Group`](crate::Group).
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct GroupMessage {
-    /// Rises with each change of the group.
+    /// Version of the group, increasing with each change.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// The members.
     #[prost(message, repeated, tag = "2")]
     pub members: Vec<MemberMessage>,
-    /// Which of the groups it is.
+    /// Index of the group in the ledger.
     #[prost(uint32, tag = "3")]
     pub number: u32,
 }
 
-/// All groups of the ledger.
+/// Wire form of [`GroupMap`](crate::GroupMap).
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct GroupMapMessage {
-    /// The groups, by number.
+    /// Ordered by number.
     #[prost(message, repeated, tag = "1")]
     pub groups: Vec<GroupMessage>,
 }
 
-/// A request to a replica.
+/// Request to a replica.
 #[derive(Clone, PartialEq, prost::Message)]
+#[allow(missing_docs)]
 pub struct LedgerRequest {
-    /// Epoch of the group that the asker knows.
+    /// Epoch of the group as known to the sender.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// What is asked.
     #[prost(oneof = "RequestKind", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 16, 17")]
     pub kind: Option<RequestKind>,
-    /// Number of the group that is asked.
+    /// Number of the group addressed.
     #[prost(uint32, tag = "14")]
     pub group: u32,
-    /// What the asker tells besides, for whoever hosts the replica. Its content means nothing here.
+    /// Opaque data from the sender for the host of the replica.
     #[prost(bytes = "bytes", tag = "15")]
     pub news: Bytes,
 }
 
-/// What is asked of a replica.
+/// Operation that a request asks for.
 #[derive(Clone, PartialEq, prost::Oneof)]
+#[allow(missing_docs)]
 pub enum RequestKind {
-    /// May this turn begin?
     #[prost(message, tag = "2")]
     Begin(Begin),
-    /// A turn ended.
     #[prost(message, tag = "3")]
     End(End),
-    /// The content of a chain of turns.
+    /// Reads the content of a chain of turns, as far as it is known to the replica.
     #[prost(message, tag = "4")]
     Chain(ChainRequest),
-    /// Everything that the replica knows, a page at a time.
+    /// Reads one page of everything that the replica stores.
     #[prost(message, tag = "5")]
     Page(PageRequest),
-    /// Records of a member that leaves.
+    /// Transfers records from a member that leaves.
     #[prost(message, tag = "6")]
     Push(Push),
-    /// There is a newer group.
+    /// Announces a newer version of the group.
     #[prost(message, tag = "7")]
     Install(GroupMessage),
-    /// Who are you, and which group do you know? `false` from a machine that waits for a seat.
+    /// Reads the replica's state. `false` if the sender is a machine waiting to become a member.
     #[prost(bool, tag = "8")]
     Status(bool),
-    /// The content of kept turns.
     #[prost(message, tag = "9")]
     Contents(ContentsRequest),
-    /// The content of a chain of turns, from a member that can say for certain that it does not know the newest one.
+    /// Like `Chain`, but an empty chain is only returned by a voting member at the current epoch and so is
+    /// authoritative for that member.
     #[prost(message, tag = "10")]
     Find(ChainRequest),
-    /// Which groups are there? Answered by the replica's host.
+    /// Reads all groups. Answered by the replica's host.
     #[prost(bool, tag = "11")]
     Map(bool),
-    /// Nothing; only the news that come with it matter.
+    /// Carries only `LedgerRequest::news`.
     #[prost(bool, tag = "12")]
     News(bool),
-    /// May a tenant make one more call? Answered by the replica's host.
+    /// Checks a call against a tenant's quota. Answered by the replica's host.
     #[prost(message, tag = "13")]
     Quota(QuotaQuestion),
-    /// Calls that another host of the group let in. Taken in by the replica's host.
+    /// Reports calls admitted by another host of the group. Handled by the replica's host.
     #[prost(message, tag = "16")]
     QuotaTotals(QuotaTotals),
-    /// The member of this name stops as planned in a moment. Taken in by the replica's host.
+    /// Announces the planned shutdown of the named member. Handled by the replica's host.
     #[prost(string, tag = "17")]
     Stopping(String),
 }
 
-/// May a turn begin?
+/// Request to admit a turn.
 #[derive(Clone, PartialEq, prost::Message)]
+#[allow(missing_docs)]
 pub struct Begin {
-    /// The turn.
     #[prost(message, optional, tag = "1")]
     pub turn: Option<TurnBegun>,
-    /// Tokens that all turns of the program may generate; 0 where there is no budget.
+    /// Token budget for all turns of the program; 0 if unlimited.
     #[prost(uint64, tag = "2")]
     pub budget_tokens: u64,
-    /// The turn that it goes on from; empty at the start of a chain.
+    /// Turn that this one continues; empty for the first turn of a chain.
     #[prost(string, tag = "3")]
     pub previous: String,
-    /// Whether the content of the chain is wanted with the answer.
+    /// Whether the reply should include the content of the chain.
     #[prost(bool, tag = "4")]
     pub wants_chain: bool,
 }
 
-/// A turn ended.
+/// Request to record the end of a turn.
 #[derive(Clone, PartialEq, prost::Message)]
+#[allow(missing_docs)]
 pub struct End {
-    /// How it ended.
     #[prost(message, optional, tag = "1")]
     pub turn: Option<TurnEnded>,
 }
 
-/// The content of a turn and those before it.
+/// Request for the content of a turn and its predecessors.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ChainRequest {
-    /// The newest turn wanted.
+    /// Newest turn of the chain.
     #[prost(string, tag = "1")]
     pub turn: String,
 }
 
-/// A page of what a replica knows.
+/// Request for one page of a replica's records.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PageRequest {
-    /// Where the last page ended; empty at the start.
+    /// Cursor returned with the preceding page; empty for the first page.
     #[prost(string, tag = "1")]
     pub after: String,
-    /// The group that the asker joins; the replica adopts it first where it is newer than its own.
+    /// Group that the sender joins. The replica installs it first if it is newer than its own.
     #[prost(message, optional, tag = "2")]
     pub group: Option<GroupMessage>,
-    /// Whether kept turns are only to be named, because the asker holds most of them.
+    /// Whether to list retained turns by name only, for a sender that already holds most of them.
     #[prost(bool, tag = "3")]
     pub keys_only: bool,
 }
 
-/// The content of kept turns.
+/// Request for the content of retained turns.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct ContentsRequest {
-    /// The turns.
     #[prost(string, repeated, tag = "1")]
     pub turns: Vec<String>,
 }
 
-/// Records handed over.
+/// Records that a leaving member transfers to a remaining one.
 #[derive(Clone, PartialEq, prost::Message)]
+#[allow(missing_docs)]
 pub struct Push {
-    /// The records.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<Record>,
-    /// The group without the member that leaves.
+    /// Group without the member that leaves.
     #[prost(message, optional, tag = "2")]
     pub group: Option<GroupMessage>,
 }
 
-/// The answer of a replica.
+/// Reply of a replica.
 #[derive(Clone, PartialEq, prost::Message)]
+#[allow(missing_docs)]
 pub struct LedgerReply {
-    /// The answer.
     #[prost(oneof = "ReplyKind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12")]
     pub kind: Option<ReplyKind>,
-    /// What the replica's host tells in return for news. Its content means nothing here.
+    /// Opaque data from the host of the replica in reply to `LedgerRequest::news`.
     #[prost(bytes = "bytes", tag = "15")]
     pub view: Bytes,
 }
 
-/// What a replica answers.
+/// Result of a request.
 #[derive(Clone, PartialEq, prost::Oneof)]
+#[allow(missing_docs)]
 pub enum ReplyKind {
-    /// To a turn's begin, once the record is durable.
+    /// Vote on a turn, sent once its record is durable.
     #[prost(message, tag = "1")]
     Vote(BeginVote),
-    /// The record is durable.
+    /// The request was handled, and its records are durable.
     #[prost(bool, tag = "2")]
     Done(bool),
-    /// The content of a chain.
     #[prost(message, tag = "3")]
     Chain(ChainReply),
-    /// A page.
     #[prost(message, tag = "4")]
     Page(Page),
-    /// The request names another epoch; this is the group known here.
+    /// The request's epoch differs from that of this group, the newest known to the replica.
     #[prost(message, tag = "5")]
     WrongEpoch(GroupMessage),
-    /// The replica has no vote yet.
+    /// The replica has no vote.
     #[prost(bool, tag = "6")]
     NotVoting(bool),
-    /// Who the replica is.
     #[prost(message, tag = "7")]
     Status(StatusReply),
-    /// The record could not be made durable.
+    /// The request could not be handled, or its records could not be made durable.
     #[prost(string, tag = "8")]
     Failed(String),
-    /// The replica has joined and has never voted, so it acknowledged nothing.
+    /// The replica has never voted as its current member, so it has acknowledged no records.
     #[prost(bool, tag = "9")]
     NeverVoted(bool),
-    /// All groups, as far as the replica's host knows them.
+    /// All groups known to the replica's host.
     #[prost(message, tag = "10")]
     Map(GroupMapMessage),
-    /// The replica's host has more to do than it can in time; nothing was recorded.
+    /// The replica's host is overloaded; nothing was recorded.
     #[prost(bool, tag = "11")]
     Busy(bool),
-    /// What becomes of a tenant's call.
     #[prost(message, tag = "12")]
     Quota(QuotaAnswer),
 }
 
-/// What a replica knows of a program at the begin of one of its turns.
+/// Vote of one replica on whether a turn may begin.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BeginVote {
-    /// Every other turn of the program.
+    /// All other turns of the program.
     #[prost(message, repeated, tag = "1")]
     pub known: Vec<KnownTurn>,
-    /// Whether the turn fits the budget by what is known here.
+    /// Whether the turn fits the budget, given the turns known to this replica.
     #[prost(bool, tag = "2")]
     pub fits: bool,
-    /// Whether the earlier turn is known here.
+    /// Whether this replica stores the preceding turn.
     #[prost(bool, tag = "3")]
     pub knows_previous: bool,
-    /// The content of the chain, where it was wanted.
+    /// Content of the chain, if requested.
     #[prost(message, optional, tag = "4")]
     pub chain: Option<ChainReply>,
 }
 
-/// What a turn counts.
+/// Tokens that a turn is charged with.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct KnownTurn {
-    /// The turn.
     #[prost(string, tag = "1")]
     pub turn: String,
-    /// Tokens handed out where it ended, else the most that it may generate.
+    /// Tokens delivered if the turn has ended, otherwise the maximum that it may generate.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
-    /// Whether its end is known.
     #[prost(bool, tag = "3")]
     pub has_ended: bool,
 }
 
 /// Turns of a chain, newest first.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct ChainReply {
-    /// The turns.
     #[prost(message, repeated, tag = "1")]
     pub turns: Vec<RetainedTurn>,
-    /// The next older turn, which is not known here; empty where the chain is whole.
+    /// Next older turn, which this replica does not store; empty if the chain is complete.
     #[prost(string, tag = "2")]
     pub missing: String,
 }
 
-/// A page of records.
+/// One page of records.
 #[derive(Clone, PartialEq, prost::Message)]
+#[allow(missing_docs)]
 pub struct Page {
-    /// The records.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<Record>,
-    /// Where the next page begins; empty at the end.
+    /// Cursor of the next page; empty on the last page.
     #[prost(string, tag = "2")]
     pub next: String,
-    /// Kept turns that are only named.
+    /// Retained turns listed without their content.
     #[prost(string, repeated, tag = "3")]
     pub kept_turns: Vec<String>,
 }
 
-/// Who a replica is.
+/// State of a replica.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct StatusReply {
-    /// Name of the node.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Whether it votes.
     #[prost(bool, tag = "2")]
     pub is_voting: bool,
-    /// Whether it holds what it acknowledged as a founding member.
+    /// Whether it holds every record that it acknowledged as a founding member.
     #[prost(bool, tag = "3")]
     pub may_found: bool,
-    /// The group that it knows.
+    /// Group known to the replica, if any.
     #[prost(message, optional, tag = "4")]
     pub group: Option<GroupMessage>,
-    /// Whether it looks if other members are there.
+    /// Whether it monitors the other members.
     #[prost(bool, tag = "5")]
     pub is_watching: bool,
-    /// Members that it finds silent.
+    /// Members that do not answer it; meaningful only if `is_watching`.
     #[prost(message, repeated, tag = "6")]
     pub silent: Vec<SilentMember>,
-    /// Whether its process was asked to stop and offers its seat.
+    /// Whether its process is shutting down and gives up its membership.
     #[prost(bool, tag = "7")]
     pub offers_seat: bool,
 }
 
-/// A member that says nothing.
+/// Member that does not answer.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
+#[allow(missing_docs)]
 pub struct SilentMember {
-    /// Its node.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Milliseconds since it was heard last.
+    /// Milliseconds since its last answer.
     #[prost(uint64, tag = "2")]
     pub millis: u64,
 }
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -1,4 +1,4 @@
-//! Everything a replica knows of programs.
+//! State of a replica: accounts of programs and retained turns.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -10,100 +10,100 @@
     BeginVote, ChainReply, Page, Record, RecordKind, RetainedTurn, StoredCopy, TurnBegun, TurnEnded,
 };
 
-/// Content that a page may carry before it ends.
+/// Size at which a page is full.
 const PAGE_BYTES: usize = 256 << 10;
-/// Fixed share of a record in a page, for what its content does not show.
+/// Approximate encoded size of a record without its content.
 const RECORD_OVERHEAD_BYTES: usize = 64;
-/// Fixed share of a key in a page.
+/// Approximate encoding overhead of a key.
 const KEY_OVERHEAD_BYTES: usize = 4;
-/// How much longer than asked for records are kept, so that clocks that differ lose nothing.
-const KEEP_FACTOR: u64 = 2;
-/// Longest chain that is followed; a longer one is a defect.
-const MAX_CHAIN: usize = 4096;
-/// Prefixes of a page's cursor.
-const PROGRAM_CURSOR: &str = "p";
-const TURN_CURSOR: &str = "t";
-/// Cursor at which the kept turns begin.
-pub const KEPT_TURNS_CURSOR: &str = TURN_CURSOR;
+/// Multiple of the requested retention for which records are kept, as a margin for clock skew.
+const RETENTION_FACTOR: u64 = 2;
+/// Limit on chain traversal; a longer chain indicates a defect.
+const MAX_CHAIN_TURNS: usize = 4096;
+/// Prefixes of a page cursor, before the last key of the preceding page.
+const PROGRAM_CURSOR_PREFIX: &str = "p";
+const TURN_CURSOR_PREFIX: &str = "t";
+/// Cursor of the first page of retained turns.
+pub const KEPT_TURNS_CURSOR: &str = TURN_CURSOR_PREFIX;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Kept {
+struct StoredTurn {
     program: String,
     content: RetainedTurn,
     expires: u64,
 }
 
-/// Accounts of programs and content of turns. Times are milliseconds of the time of day.
+/// Accounts of programs and content of turns. Times are Unix times in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LedgerState {
     programs: BTreeMap<String, ProgramAccount>,
-    kept: BTreeMap<String, Kept>,
+    turns: BTreeMap<String, StoredTurn>,
     copy: StoredCopy,
 }
 
 impl LedgerState {
-    /// Whether nothing is known.
+    /// Whether there are no programs and no retained turns.
     pub fn is_empty(&self) -> bool {
-        self.programs.is_empty() && self.kept.is_empty()
+        self.programs.is_empty() && self.turns.is_empty()
     }
 
-    /// Number of programs.
+    /// Number of programs with an account.
     pub fn programs(&self) -> usize {
         self.programs.len()
     }
 
-    /// Number of turns whose content is kept.
+    /// Number of turns whose content is stored.
     pub fn kept_turns(&self) -> usize {
-        self.kept.len()
+        self.turns.len()
     }
 
-    /// Forgets all programs and turns.
+    /// Removes all programs and turns, but not the stored copy.
     pub fn forget_programs(&mut self) {
         self.programs.clear();
-        self.kept.clear();
+        self.turns.clear();
     }
 
-    /// Notes a turn's begin; returns the time at which the record expires.
+    /// Records the start of a turn; returns the expiry time of the record.
     pub fn begin(&mut self, turn: &TurnBegun, now: u64) -> u64 {
         let expires = expiry(turn.retention_millis, now);
-        self.begin_until(turn, expires);
+        self.merge_begin(turn, expires);
         expires
     }
 
-    /// Notes a turn's end; returns the time at which the record expires.
+    /// Records the end of a turn; returns the expiry time of the record.
     pub fn end(&mut self, turn: &TurnEnded, now: u64) -> u64 {
         let expires = expiry(turn.retention_millis, now);
-        self.end_until(turn, expires);
+        self.merge_end(turn, expires);
         expires
     }
 
-    /// Takes a record in; its expiry is a time of day. Returns whether it says anything new.
+    /// Merges a record whose expiry is absolute. Returns whether it adds information.
     pub fn merge(&mut self, record: &Record) -> bool {
         match &record.kind {
-            Some(RecordKind::Begun(turn)) => self.begin_until(turn, record.expiry_millis),
-            Some(RecordKind::Ended(turn)) => self.end_until(turn, record.expiry_millis),
+            Some(RecordKind::Begun(turn)) => self.merge_begin(turn, record.expiry_millis),
+            Some(RecordKind::Ended(turn)) => self.merge_end(turn, record.expiry_millis),
             Some(RecordKind::Copy(copy)) => self.keep(copy),
             Some(RecordKind::Group(_) | RecordKind::Standing(_) | RecordKind::Reading(_)) | None => false,
         }
     }
 
-    /// Whether the content of a turn is kept.
+    /// Whether the content of a turn is stored.
     pub fn keeps(&self, turn: &str) -> bool {
-        self.kept.contains_key(turn)
+        self.turns.contains_key(turn)
     }
 
-    /// The records of kept turns with their content, as far as they are known.
+    /// Records of retained turns with their content; turns that are not stored are skipped.
     pub fn contents(&self, turns: &[String], now: u64) -> Page {
         let mut page = PageBuilder::default();
         for turn in turns {
-            if let Some(kept) = self.kept.get(turn) {
-                self.add_content(turn, kept, now, &mut page);
+            if let Some(stored) = self.turns.get(turn) {
+                self.add_content(turn, stored, now, &mut page);
             }
         }
         page.page
     }
 
-    /// Keeps a copy if it is newer; returns whether it is.
+    /// Stores a copy if it is newer than the current one; returns whether it is.
     pub fn keep(&mut self, copy: &StoredCopy) -> bool {
         let is_newer = copy.number > self.copy.number;
         if is_newer {
@@ -112,22 +112,22 @@
         is_newer
     }
 
-    /// The newest copy.
+    /// Newest stored copy; its number is 0 if there is none.
     pub fn copy(&self) -> &StoredCopy {
         &self.copy
     }
 
-    fn begin_until(&mut self, turn: &TurnBegun, expires: u64) -> bool {
+    fn merge_begin(&mut self, turn: &TurnBegun, expires: u64) -> bool {
         let account = self.account(&turn.program, expires);
-        account.begin(&turn.turn, turn.most_tokens)
+        account.record_begin(&turn.turn, turn.most_tokens)
     }
 
-    fn end_until(&mut self, turn: &TurnEnded, expires: u64) -> bool {
+    fn merge_end(&mut self, turn: &TurnEnded, expires: u64) -> bool {
         let account = self.account(&turn.program, expires);
-        let is_new = account.end(&turn.turn, turn.tokens);
+        let is_new = account.record_end(&turn.turn, turn.tokens);
         let Some(content) = &turn.retained else { return is_new };
-        let kept = Kept { program: turn.program.clone(), content: own_copy(content), expires };
-        self.kept.insert(turn.turn.clone(), kept).is_none() || is_new
+        let stored = StoredTurn { program: turn.program.clone(), content: compact_copy(content), expires };
+        self.turns.insert(turn.turn.clone(), stored).is_none() || is_new
     }
 
     fn account(&mut self, program: &str, expires: u64) -> &mut ProgramAccount {
@@ -139,121 +139,121 @@
         account
     }
 
-    /// What is known when a turn wants to begin.
+    /// Computes the vote on a turn from the records stored here.
     pub fn vote(&self, turn: &TurnBegun, budget_tokens: u64, previous: &str, wants_chain: bool) -> BeginVote {
         let account = self.programs.get(&turn.program);
-        let counted = account.map_or(0, |account| account.counted_besides(&turn.turn));
-        let knows_previous = previous.is_empty() || self.kept.contains_key(previous);
+        let charged = account.map_or(0, |account| account.charged_tokens_except(&turn.turn));
+        let knows_previous = previous.is_empty() || self.turns.contains_key(previous);
         BeginVote {
-            known: account.map(|account| account.known_besides(&turn.turn)).unwrap_or_default(),
-            fits: budget_tokens == 0 || counted + turn.most_tokens <= budget_tokens,
+            known: account.map(|account| account.known_except(&turn.turn)).unwrap_or_default(),
+            fits: budget_tokens == 0 || charged + turn.most_tokens <= budget_tokens,
             knows_previous,
             chain: (wants_chain && !previous.is_empty()).then(|| self.chain(previous)),
         }
     }
 
-    /// A turn's content and that of the turns before it, as far as it is known.
+    /// Content of a turn and its predecessors, up to the first that is not stored.
     pub fn chain(&self, newest: &str) -> ChainReply {
         let mut turns = Vec::new();
         let mut next = newest.to_owned();
-        while !next.is_empty() && turns.len() < MAX_CHAIN {
-            let Some(kept) = self.kept.get(&next) else { break };
-            next.clone_from(&kept.content.previous);
-            turns.push(kept.content.clone());
+        while !next.is_empty() && turns.len() < MAX_CHAIN_TURNS {
+            let Some(stored) = self.turns.get(&next) else { break };
+            next.clone_from(&stored.content.previous);
+            turns.push(stored.content.clone());
         }
         ChainReply { turns, missing: next }
     }
 
-    /// Forgets what has expired.
+    /// Removes expired programs and turns.
     pub fn expire(&mut self, now: u64) {
         self.programs.retain(|_, account| account.expires > now);
-        self.kept.retain(|_, kept| kept.expires > now);
+        self.turns.retain(|_, stored| stored.expires > now);
     }
 
-    /// The records behind a cursor, with the time that is left to each.
+    /// Page of records that follows a cursor; their expiry is relative to `now`.
     pub fn page(&self, after: &str, detail: PageDetail, now: u64) -> Page {
         let mut page = PageBuilder { detail, ..PageBuilder::default() };
         let (section, key) = after.split_at(after.len().min(1));
-        let is_in_turns = section == TURN_CURSOR;
+        let is_turn_cursor = section == TURN_CURSOR_PREFIX;
         if after.is_empty() && self.copy.number > 0 {
             page.add(RecordKind::Copy(self.copy.clone()), 0, self.copy.content.len());
         }
-        if !is_in_turns && self.program_records(key, now, &mut page) {
+        if !is_turn_cursor && self.add_programs(key, now, &mut page) {
             return page.page;
         }
-        self.turn_records(if is_in_turns { key } else { "" }, now, &mut page);
+        self.add_turns(if is_turn_cursor { key } else { "" }, now, &mut page);
         page.page
     }
 
-    /// Adds programs behind a key; returns whether the page is full.
-    fn program_records(&self, after: &str, now: u64, page: &mut PageBuilder) -> bool {
-        for (program, account) in self.programs.range::<str, _>(behind(after)) {
-            let left = account.expires.saturating_sub(now);
-            for (turn, counted) in &account.turns {
-                let Some(tokens) = counted.ended_tokens else {
+    /// Adds programs after a key; returns whether the page is full.
+    fn add_programs(&self, after: &str, now: u64, page: &mut PageBuilder) -> bool {
+        for (program, account) in self.programs.range::<str, _>(keys_after(after)) {
+            let remaining = account.expires.saturating_sub(now);
+            for (turn, turn_account) in &account.turns {
+                let Some(tokens) = turn_account.ended_tokens else {
                     let begun = TurnBegun {
                         program: program.clone(),
                         turn: turn.clone(),
-                        most_tokens: counted.most_tokens,
+                        most_tokens: turn_account.most_tokens,
                         retention_millis: 0,
                     };
-                    page.add(RecordKind::Begun(begun), left, 0);
+                    page.add(RecordKind::Begun(begun), remaining, 0);
                     continue;
                 };
-                // The end of a turn that is kept stands with its content.
-                if page.detail == PageDetail::Keys || !self.kept.contains_key(turn) {
+                // In a page with content, the end of a retained turn is listed with its content.
+                if page.detail == PageDetail::Keys || !self.turns.contains_key(turn) {
                     let ended = TurnEnded {
                         program: program.clone(),
                         turn: turn.clone(),
                         tokens,
                         ..TurnEnded::default()
                     };
-                    page.add(RecordKind::Ended(ended), left, 0);
+                    page.add(RecordKind::Ended(ended), remaining, 0);
                 }
             }
             if page.is_full() {
-                page.page.next = format!("{PROGRAM_CURSOR}{program}");
+                page.page.next = format!("{PROGRAM_CURSOR_PREFIX}{program}");
                 return true;
             }
         }
         false
     }
 
-    fn turn_records(&self, after: &str, now: u64, page: &mut PageBuilder) {
-        for (turn, kept) in self.kept.range::<str, _>(behind(after)) {
+    fn add_turns(&self, after: &str, now: u64, page: &mut PageBuilder) {
+        for (turn, stored) in self.turns.range::<str, _>(keys_after(after)) {
             match page.detail {
-                PageDetail::Whole => self.add_content(turn, kept, now, page),
+                PageDetail::Whole => self.add_content(turn, stored, now, page),
                 PageDetail::Keys => page.add_key(turn),
             }
             if page.is_full() {
-                page.page.next = format!("{TURN_CURSOR}{turn}");
+                page.page.next = format!("{TURN_CURSOR_PREFIX}{turn}");
                 return;
             }
         }
     }
 
-    fn add_content(&self, turn: &str, kept: &Kept, now: u64, page: &mut PageBuilder) {
-        let account = self.programs.get(&kept.program).and_then(|account| account.turns.get(turn));
+    fn add_content(&self, turn: &str, stored: &StoredTurn, now: u64, page: &mut PageBuilder) {
+        let account = self.programs.get(&stored.program).and_then(|account| account.turns.get(turn));
         let tokens = account.and_then(|account| account.ended_tokens).unwrap_or(0);
         let ended = TurnEnded {
-            program: kept.program.clone(),
+            program: stored.program.clone(),
             turn: turn.to_owned(),
             tokens,
             retention_millis: 0,
-            retained: Some(kept.content.clone()),
+            retained: Some(stored.content.clone()),
         };
-        let bytes = kept.content.input.len() + kept.content.output.len();
-        page.add(RecordKind::Ended(ended), kept.expires.saturating_sub(now), bytes);
+        let bytes = stored.content.input.len() + stored.content.output.len();
+        page.add(RecordKind::Ended(ended), stored.expires.saturating_sub(now), bytes);
     }
 }
 
-/// What a page tells of kept turns.
+/// Detail in which a page lists retained turns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PageDetail {
-    /// Their content.
+    /// Records with content.
     #[default]
     Whole,
-    /// Only which they are, for readers that hold most of them already.
+    /// Names only, for readers that already hold most of the content.
     Keys,
 }
 
@@ -265,8 +265,8 @@
 }
 
 impl PageBuilder {
-    fn add(&mut self, kind: RecordKind, left: u64, content_bytes: usize) {
-        self.page.records.push(Record { kind: Some(kind), expiry_millis: left });
+    fn add(&mut self, kind: RecordKind, remaining: u64, content_bytes: usize) {
+        self.page.records.push(Record { kind: Some(kind), expiry_millis: remaining });
         self.bytes += content_bytes + RECORD_OVERHEAD_BYTES;
     }
 
@@ -280,14 +280,13 @@
     }
 }
 
-fn behind(key: &str) -> (Bound<&str>, Bound<&str>) {
+fn keys_after(key: &str) -> (Bound<&str>, Bound<&str>) {
     let lower = if key.is_empty() { Bound::Unbounded } else { Bound::Excluded(key) };
     (lower, Bound::Unbounded)
 }
 
-/// The content in memory of its own size. As it arrived it is a piece of what was read from the network, all of which
-/// would be kept as long as the piece.
-fn own_copy(content: &RetainedTurn) -> RetainedTurn {
+/// Copies the content to buffers of its own size. The received slices would keep the whole network buffer allocated.
+fn compact_copy(content: &RetainedTurn) -> RetainedTurn {
     RetainedTurn {
         previous: content.previous.clone(),
         input: Bytes::copy_from_slice(&content.input),
@@ -296,5 +295,5 @@
 }
 
 fn expiry(retention_millis: u64, now: u64) -> u64 {
-    now + retention_millis * KEEP_FACTOR
+    now + retention_millis * RETENTION_FACTOR
 }
--- a/crates/ledger/tests/admission.rs
+++ b/crates/ledger/tests/admission.rs
@@ -1,4 +1,4 @@
-//! A replica's host under three times what its disk can take, on a virtual clock.
+//! Admission control of a replica's host, with a simulated disk and a virtual clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use sumacdrift_ledger::{HostAdmission, RequestClass};
 use sumacdrift_types::Timestamp;
 
-/// Size of a kept turn, and of what a turn's begin writes.
+/// Record sizes of the end of a retained turn and of the begin of a turn.
 const END_BYTES: usize = 20_000;
 const BEGIN_BYTES: usize = 100;
-/// What the disk takes in a millisecond: a kept turn each four milliseconds.
-const DISK_BYTES_A_MILLISECOND: usize = 5_000;
-const MOST_BYTES: usize = 4 << 20;
-const IN_TIME: Duration = Duration::from_millis(300);
+/// Disk throughput: one retained turn every four milliseconds.
+const DISK_BYTES_PER_MILLISECOND: usize = 5_000;
+const MAX_QUEUE_BYTES: usize = 4 << 20;
+const CALLER_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Batch {
     queued: Timestamp,
-    left: usize,
+    remaining_bytes: usize,
     class: RequestClass,
 }
 
@@ -24,36 +24,36 @@
 struct Outcome {
     begins_in_time: usize,
     begins_late: usize,
-    most_waiting: usize,
+    max_queued_bytes: usize,
 }
 
-/// Plays so many times the load that the disk can take for a minute: each turn begins, and ends if it began.
-fn play(times: usize) -> Outcome {
-    let mut admission = HostAdmission::new(MOST_BYTES);
+/// Simulates a minute at a multiple of the disk's capacity: each turn begins, and ends if its begin was admitted.
+fn simulate(load_factor: usize) -> Outcome {
+    let mut admission = HostAdmission::new(MAX_QUEUE_BYTES);
     let mut disk: VecDeque<Batch> = VecDeque::new();
     let mut outcome = Outcome::default();
     for millisecond in 0..60_000_u64 {
         let now = Timestamp::default() + Duration::from_millis(millisecond);
-        let turns = if millisecond % 4 == 0 { times } else { 0 };
+        let turns = if millisecond % 4 == 0 { load_factor } else { 0 };
         for _ in 0..turns {
             for (class, bytes) in [(RequestClass::NewWork, BEGIN_BYTES), (RequestClass::Other, END_BYTES)] {
                 if !admission.takes(class, bytes, now) {
                     break;
                 }
                 admission.queued(bytes, now);
-                disk.push_back(Batch { queued: now, left: bytes, class });
+                disk.push_back(Batch { queued: now, remaining_bytes: bytes, class });
             }
         }
-        let mut written = DISK_BYTES_A_MILLISECOND;
+        let mut written = DISK_BYTES_PER_MILLISECOND;
         while let Some(batch) = disk.front_mut() {
-            let part = batch.left.min(written);
-            batch.left -= part;
+            let part = batch.remaining_bytes.min(written);
+            batch.remaining_bytes -= part;
             written -= part;
-            if batch.left > 0 {
+            if batch.remaining_bytes > 0 {
                 break;
             }
             if batch.class == RequestClass::NewWork {
-                match now.since(batch.queued) <= IN_TIME {
+                match now.since(batch.queued) <= CALLER_TIMEOUT {
                     true => outcome.begins_in_time += 1,
                     false => outcome.begins_late += 1,
                 }
@@ -61,23 +61,23 @@
             disk.pop_front();
             admission.written(now);
         }
-        outcome.most_waiting = outcome.most_waiting.max(admission.waiting_bytes());
+        outcome.max_queued_bytes = outcome.max_queued_bytes.max(admission.waiting_bytes());
     }
     outcome
 }
 
 #[test]
-fn under_three_times_its_capacity_what_is_taken_is_answered_in_time_and_memory_stays_flat() {
-    let capacity = play(1);
+fn threefold_overload_keeps_admitted_begins_in_time_and_memory_bounded() {
+    let capacity = simulate(1);
     assert_eq!(capacity.begins_late, 0);
-    let overloaded = play(3);
+    let overloaded = simulate(3);
     assert!(overloaded.begins_in_time * 10 >= capacity.begins_in_time * 9, "{}", overloaded.begins_in_time);
     assert!(overloaded.begins_late * 50 <= overloaded.begins_in_time, "{}", overloaded.begins_late);
-    assert!(overloaded.most_waiting <= MOST_BYTES / 2, "{}", overloaded.most_waiting);
+    assert!(overloaded.max_queued_bytes <= MAX_QUEUE_BYTES / 2, "{}", overloaded.max_queued_bytes);
 }
 
 #[test]
-fn a_disk_that_stands_still_turns_new_work_away_and_lets_turns_end_while_there_is_room() {
+fn stalled_disk_rejects_new_work_and_admits_ends_up_to_the_byte_limit() {
     let mut admission = HostAdmission::new(3 * END_BYTES);
     let at = |millis| Timestamp::default() + Duration::from_millis(millis);
     admission.queued(END_BYTES, at(0));
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn a_record_larger_than_all_room_is_taken_when_nothing_waits() {
+fn record_above_the_byte_limit_is_admitted_to_an_empty_queue() {
     let admission = HostAdmission::new(10);
     assert!(admission.takes(RequestClass::Other, END_BYTES, Timestamp::default()));
 }
 
 #[test]
-fn a_disk_that_is_quick_again_is_soon_believed_to_be() {
-    let mut admission = HostAdmission::new(MOST_BYTES);
+fn throughput_estimate_recovers_soon_after_a_slow_disk() {
+    let mut admission = HostAdmission::new(MAX_QUEUE_BYTES);
     let at = |millis| Timestamp::default() + Duration::from_millis(millis);
     for second in 0..10 {
         admission.queued(BEGIN_BYTES, at(second * 1_000));
@@ -108,7 +108,7 @@
     admission.queued(BEGIN_BYTES, at(10_000));
     assert!(
         !admission.takes(RequestClass::NewWork, BEGIN_BYTES, at(10_000)),
-        "a hundred bytes take a second"
+        "the estimated queue delay is about a second"
     );
     admission.written(at(10_001));
     for millisecond in 1..10 {
--- a/crates/ledger/tests/map.rs
+++ b/crates/ledger/tests/group_map.rs
@@ -1,4 +1,4 @@
-//! All groups as nodes know them, and replicas that change from one group to another.
+//! Group maps, and replicas that follow them or switch groups.
 
 use sumacdrift_ledger::{
     Begin, Group, GroupMap, LedgerRequest, Member, Replica, ReplicaSettings, ReplyKind, RequestKind,
@@ -13,35 +13,35 @@
     Group::founded_as(number, nodes.map(member).to_vec())
 }
 
-fn two() -> GroupMap {
+fn two_groups() -> GroupMap {
     GroupMap::new(vec![group(0, ["a", "b", "c"]), group(1, ["d", "e", "f"])])
 }
 
 #[test]
-fn of_each_group_the_newer_version_counts() {
-    let newer = two().groups()[1].without("e");
-    let ahead = two().with(newer.clone());
-    let mut map = two();
+fn merge_keeps_newer_version_of_each_group() {
+    let newer = two_groups().groups()[1].without("e");
+    let ahead = two_groups().with(newer.clone());
+    let mut map = two_groups();
     assert!(map.merge(&ahead));
     assert_eq!(map.group(1).map(|group| group.epoch), Some(newer.epoch));
-    assert!(!map.merge(&two()));
-    assert!(!map.learn(Group::clone(&two().groups()[1])));
+    assert!(!map.merge(&two_groups()));
+    assert!(!map.learn(Group::clone(&two_groups().groups()[1])));
     assert_eq!(map, ahead);
 }
 
 #[test]
-fn a_map_that_knows_one_group_learns_of_the_others() {
+fn map_of_one_group_learns_the_others() {
     let mut map = GroupMap::default();
     assert!(map.learn(group(0, ["a", "b", "c"])));
     assert!(!map.learn(group(1, ["d", "e", "f"])));
-    assert!(map.merge(&two()));
-    assert_eq!(map, two());
+    assert!(map.merge(&two_groups()));
+    assert_eq!(map, two_groups());
 }
 
 #[test]
-fn a_map_is_read_as_it_was_told_and_one_out_of_order_is_not() {
-    let message = two().to_message();
-    assert_eq!(GroupMap::from_message(&message), Some(two()));
+fn map_message_round_trips_and_is_rejected_out_of_order() {
+    let message = two_groups().to_message();
+    assert_eq!(GroupMap::from_message(&message), Some(two_groups()));
     let mut swapped = message;
     swapped.groups.swap(0, 1);
     assert_eq!(GroupMap::from_message(&swapped), None);
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn a_replica_votes_on_its_own_groups_programs_only() {
-    let map = two();
+fn replica_votes_only_in_its_own_group() {
+    let map = two_groups();
     let mut replica = founding_replica("d");
-    replica.install(Group::clone(&map.groups()[1])).expect("a record");
+    replica.install(Group::clone(&map.groups()[1])).expect("group record");
     let own = replica.handle(begin(&map.groups()[1], "p"), 0);
     assert!(matches!(own.reply.kind, Some(ReplyKind::Vote(_))));
     let other = replica.handle(begin(&map.groups()[0], "p"), 0);
     assert!(matches!(other.reply.kind, Some(ReplyKind::NotVoting(_))));
     assert!(other.commit.is_empty());
-    // Nobody can make it another group's by telling it of that one.
+    // Installing a version of another group does not move the replica there.
     assert_eq!(replica.install(map.groups()[0].with(member("d"))), None);
 }
 
 #[test]
-fn a_replica_that_changes_to_another_group_forgets_and_has_no_vote_until_it_has_read() {
-    let map = two();
+fn replica_that_switches_groups_discards_state_and_vote() {
+    let map = two_groups();
     let mut disk = Vec::new();
     let mut replica = founding_replica("d");
     disk.extend(replica.install(Group::clone(&map.groups()[1])));
@@ -93,10 +93,10 @@
     assert_eq!(replica.state().programs(), 1);
     let without = map.groups()[1].without("d");
     disk.extend(replica.install(without));
-    // The other group's epoch is lower than the one it left.
+    // The epoch of the new group is lower than that of the old one.
     let mut joined = map.groups()[0].with(member("d"));
     joined.epoch = 1;
-    disk.extend(replica.switch_to(joined.clone()));
+    disk.extend(replica.switch_group(joined.clone()));
     assert!(!replica.is_voting());
     assert_eq!((replica.group().number, replica.state().programs()), (0, 0));
     let answer = replica.handle(begin(&joined, "q"), 0);
@@ -109,33 +109,33 @@
 }
 
 #[test]
-fn a_founder_of_any_group_votes_at_once() {
+fn founder_of_any_group_votes_at_once() {
     for node in ["a", "b", "c", "d", "e", "f"] {
         let mut replica = founding_replica(node);
-        replica.follow_map(&two()).expect("a record");
+        replica.follow_map(&two_groups()).expect("group record");
         assert!(replica.is_voting(), "{node}");
-        assert_eq!(replica.follow_map(&two()), None);
+        assert_eq!(replica.follow_map(&two_groups()), None);
     }
 }
 
 #[test]
-fn a_machine_without_a_seat_follows_no_group_until_it_has_one() {
+fn machine_without_seat_follows_no_group() {
     let mut replica = founding_replica("spare");
-    assert_eq!(replica.follow_map(&two()), None);
+    assert_eq!(replica.follow_map(&two_groups()), None);
     assert_eq!(replica.group().epoch, 0);
-    let joined = two().with(two().groups()[1].with(member("spare")));
-    replica.follow_map(&joined).expect("a record");
+    let joined = two_groups().with(two_groups().groups()[1].with(member("spare")));
+    replica.follow_map(&joined).expect("group record");
     assert_eq!(replica.group().number, 1);
-    assert!(!replica.is_voting(), "it has read nothing yet");
+    assert!(!replica.is_voting(), "has a vote before reading any member");
 }
 
 #[test]
-fn a_replica_learns_that_it_lost_its_seat_and_an_older_map_changes_nothing() {
+fn replica_follows_map_that_removed_it_and_ignores_older_map() {
     let mut replica = founding_replica("d");
-    replica.follow_map(&two());
-    let without = two().with(two().groups()[1].without("d"));
-    replica.follow_map(&without).expect("a record");
+    replica.follow_map(&two_groups());
+    let without = two_groups().with(two_groups().groups()[1].without("d"));
+    replica.follow_map(&without).expect("group record");
     assert!(!replica.is_member());
-    assert_eq!(replica.follow_map(&two()), None);
+    assert_eq!(replica.follow_map(&two_groups()), None);
     assert!(!replica.is_member());
 }
--- a/crates/ledger/tests/mutants.rs
+++ b/crates/ledger/tests/mutants.rs
@@ -1,38 +1,39 @@
-//! Each rule of the ledger broken once: the simulation must notice.
+//! Mutation test: breaking any one rule of the ledger must make a simulation or scenario fail.
 #![cfg(feature = "mutants")]
 
-mod cut_off;
-mod world;
-mod zone_world;
+mod cluster;
+mod partial_partition;
+mod zone_simulation;
 
 use std::sync::Arc;
 
+use cluster::Cluster;
 use sumacdrift_ledger::{Group, GroupMap, GroupPolicy, Member, MemberWatch, Patience, PlaceStep};
 use sumacdrift_mutants::{Rule, with_broken};
 use sumacdrift_types::{Places, RegionName, Timestamp};
-use world::World;
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 1_500;
 
-fn breaks_a_rule(rule: Rule, seed: u64) -> bool {
+fn detects_violation(rule: Rule, seed: u64) -> bool {
     match rule {
-        Rule::LedgerZonesHoldFewMembers => return zone_world::play(seed).is_err(),
-        Rule::LedgerStaysInItsRegions => return spreads_to_another_region(),
-        Rule::LedgerLostHasWitnesses => return cut_off::takes_the_place_of_a_member_that_others_hear(),
+        Rule::LedgerZonesHoldFewMembers => return zone_simulation::simulate(seed).is_err(),
+        Rule::LedgerStaysInItsRegions => return joins_group_in_another_region(),
+        Rule::LedgerLostHasWitnesses => return partial_partition::replaces_member_reachable_by_others(),
         _ => {}
     }
     let run = std::panic::catch_unwind(|| {
-        let mut world = World::new(seed, 1);
-        (0..STEPS).for_each(|_| world.step());
+        let mut cluster = Cluster::new(seed, 1);
+        (0..STEPS).for_each(|_| cluster.step());
     });
     run.is_err()
 }
 
-/// Whether a machine joins a group that has no member in its region.
-fn spreads_to_another_region() -> bool {
-    let region = |name: &str| RegionName::new(name).expect("a name");
-    let places = Places::new([("z1", "a"), ("z2", "b")].map(|(zone, of)| (Arc::from(zone), region(of))));
+fn joins_group_in_another_region() -> bool {
+    let region = |name: &str| RegionName::new(name).expect("valid region name");
+    let places = Places::new(
+        [("z1", "a"), ("z2", "b")].map(|(zone, region_name)| (Arc::from(zone), region(region_name))),
+    );
     let member = |node: &str, zone: &str| Member {
         node: node.to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
@@ -47,12 +48,12 @@
 }
 
 #[test]
-fn every_broken_rule_is_noticed() {
+fn every_broken_rule_is_detected() {
     std::panic::set_hook(Box::new(|_| {}));
-    let unnoticed: Vec<Rule> = Rule::LEDGER
+    let undetected: Vec<Rule> = Rule::LEDGER
         .into_iter()
-        .filter(|rule| !(0..SEEDS).any(|seed| with_broken(*rule, || breaks_a_rule(*rule, seed))))
+        .filter(|rule| !(0..SEEDS).any(|seed| with_broken(*rule, || detects_violation(*rule, seed))))
         .collect();
     let _ = std::panic::take_hook();
-    assert!(unnoticed.is_empty(), "{unnoticed:?}");
+    assert!(undetected.is_empty(), "{undetected:?}");
 }
--- a/crates/ledger/tests/plan.rs
+++ b/crates/ledger/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which change of the group a machine asks for.
+//! Founding of groups, and the group changes that machines request.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,8 +22,8 @@
     Timestamp::default() + Duration::from_millis(millis)
 }
 
-/// What a member tells that looks at nobody else.
-fn told(is_voting: bool) -> MemberTold {
+/// Report of a member that does not monitor the others.
+fn report(is_voting: bool) -> MemberTold {
     MemberTold { is_voting, ..MemberTold::default() }
 }
 
@@ -32,16 +32,16 @@
     Candidate { member: member(node, zone), capacity }
 }
 
-fn only(group: Group) -> GroupMap {
+fn single_group(group: Group) -> GroupMap {
     GroupMap::new(vec![group])
 }
 
-fn five() -> Group {
+fn group_of_five() -> Group {
     Group::founded(["a", "b", "c", "d", "e"].map(|node| member(node, "z")).to_vec())
 }
 
 #[test]
-fn a_majority_is_left_after_the_tolerated_losses() {
+fn majority_remains_after_tolerated_losses() {
     for losses in 0..4 {
         let policy = GroupPolicy::tolerating(losses);
         let majority = policy.size() / 2 + 1;
@@ -65,18 +65,24 @@
 }
 
 #[test]
-fn a_machine_joins_a_group_that_is_too_small() {
+fn machine_joins_undersized_group() {
     let policy = GroupPolicy::tolerating(2);
     let watch = MemberWatch::default();
-    let small = five().without("c");
-    let step =
-        policy.place_step(&Places::default(), &only(small), &member("f", "z"), &watch, Patience::LONG, at(0));
+    let small = group_of_five().without("c");
+    let step = policy.place_step(
+        &Places::default(),
+        &single_group(small),
+        &member("f", "z"),
+        &watch,
+        Patience::LONG,
+        at(0),
+    );
     let PlaceStep::Change { group, reason: ChangeReason::Joined } = step else { panic!("{step:?}") };
     assert_eq!(names(&group), ["a", "b", "d", "e", "f"]);
     assert_eq!(
         policy.place_step(
             &Places::default(),
-            &only(five()),
+            &single_group(group_of_five()),
             &member("f", "z"),
             &watch,
             Patience::LONG,
@@ -87,12 +93,12 @@
 }
 
 #[test]
-fn a_machine_at_another_address_takes_its_own_place() {
+fn machine_with_new_address_updates_its_member() {
     let mut moved = member("c", "z");
     moved.address = ([127, 0, 0, 2], 1).into();
     let step = GroupPolicy::tolerating(2).place_step(
         &Places::default(),
-        &only(five()),
+        &single_group(group_of_five()),
         &moved,
         &MemberWatch::default(),
         Patience::LONG,
@@ -104,22 +110,22 @@
 }
 
 #[test]
-fn places_of_two_lost_members_are_taken_one_after_the_other() {
+fn two_lost_members_are_replaced_one_at_a_time() {
     let policy = GroupPolicy::tolerating(2);
     let mut watch = MemberWatch::default();
     for node in ["a", "b", "c", "d", "e"] {
-        watch.answered(node, told(true), at(0));
+        watch.answered(node, report(true), at(0));
     }
     let own = member("f", "z");
     for second in 1..=7 {
         for node in ["a", "b", "c"] {
-            watch.answered(node, told(true), at(second * 1_000));
+            watch.answered(node, report(true), at(second * 1_000));
         }
         watch.silent("d", at(second * 1_000));
         watch.silent("e", at(second * 1_000));
         let step = policy.place_step(
             &Places::default(),
-            &only(five()),
+            &single_group(group_of_five()),
             &own,
             &watch,
             Patience::LONG,
@@ -137,22 +143,22 @@
 }
 
 #[test]
-fn no_place_is_taken_while_too_few_members_vote() {
+fn lost_member_is_not_replaced_while_too_few_vote() {
     let policy = GroupPolicy::tolerating(2);
     let mut watch = MemberWatch::default();
     for node in ["a", "b", "c", "d", "e"] {
-        watch.answered(node, told(true), at(0));
+        watch.answered(node, report(true), at(0));
     }
-    // Two lost their disks and have no vote yet: who took the silent one's place could not read enough.
-    watch.answered("a", told(false), at(9_000));
-    watch.answered("b", told(false), at(9_000));
-    watch.answered("c", told(true), at(9_000));
-    watch.answered("d", told(true), at(9_000));
+    // Two members lost their disks and have no vote yet, so a replacement could not read enough members.
+    watch.answered("a", report(false), at(9_000));
+    watch.answered("b", report(false), at(9_000));
+    watch.answered("c", report(true), at(9_000));
+    watch.answered("d", report(true), at(9_000));
     watch.silent("e", at(9_000));
     assert_eq!(
         policy.place_step(
             &Places::default(),
-            &only(five()),
+            &single_group(group_of_five()),
             &member("f", "z"),
             &watch,
             Patience::LONG,
@@ -162,17 +168,17 @@
     );
 }
 
-/// A fleet of so many machines in each zone.
-fn fleet(in_zones: &[usize]) -> Vec<Candidate> {
+/// Candidates of a fleet with this many machines in each zone.
+fn candidates_in_zones(in_zones: &[usize]) -> Vec<Candidate> {
     let machines = in_zones.iter().enumerate();
-    let of_zone = |(zone, count): (usize, &usize)| -> Vec<Candidate> {
+    let candidates_of_zone = |(zone, count): (usize, &usize)| -> Vec<Candidate> {
         (0..*count).map(|number| candidate(&format!("z{zone}-{number}"), &format!("z{zone}"), 1.0)).collect()
     };
-    machines.flat_map(of_zone).collect()
+    machines.flat_map(candidates_of_zone).collect()
 }
 
 #[test]
-fn many_machines_make_many_groups_each_of_different_zones() {
+fn large_fleet_forms_groups_that_span_zones() {
     for (losses, zones, groups) in [
         (2, vec![6, 5, 5, 5, 5, 5, 5], 6),
         (2, vec![8, 7, 7, 7, 7], 6),
@@ -183,20 +189,21 @@
         (1, vec![10, 10], 6),
     ] {
         let policy = GroupPolicy::tolerating(losses);
-        let map = policy.founding_map(&fleet(&zones));
+        let map = policy.founding_map(&candidates_in_zones(&zones));
         assert_eq!(map.groups().len(), groups, "{zones:?}");
         let nodes: BTreeSet<&str> = map.members().map(|member| member.node.as_str()).collect();
         assert_eq!(nodes.len(), groups * policy.size(), "a machine has one seat: {zones:?}");
         for group in map.groups() {
-            let of: BTreeSet<&str> = group.members.iter().map(|member| member.zone.as_str()).collect();
-            assert_eq!(of.len(), policy.size().min(zones.len()), "{zones:?} {group:?}");
+            let group_zones: BTreeSet<&str> =
+                group.members.iter().map(|member| member.zone.as_str()).collect();
+            assert_eq!(group_zones.len(), policy.size().min(zones.len()), "{zones:?} {group:?}");
         }
     }
 }
 
 #[test]
-fn machines_that_carry_least_are_left_out_at_the_founding() {
-    let mut machines = fleet(&[4, 4, 4]);
+fn machines_with_least_capacity_are_left_out_of_founding_map() {
+    let mut machines = candidates_in_zones(&[4, 4, 4]);
     for weak in [0, 5] {
         machines[weak].capacity.memory_megabytes = 0.2;
     }
@@ -208,19 +215,19 @@
 
 #[test]
 fn programs_are_spread_evenly_over_groups() {
-    let map = GroupPolicy::tolerating(2).founding_map(&fleet(&[6, 5, 5, 5, 5, 5, 5]));
+    let map = GroupPolicy::tolerating(2).founding_map(&candidates_in_zones(&[6, 5, 5, 5, 5, 5, 5]));
     let mut counts = vec![0_usize; map.groups().len()];
     for program in 0..6_000 {
-        let group = map.group_of(&format!("program-{program}")).expect("a group");
+        let group = map.group_of(&format!("program-{program}")).expect("map has groups");
         counts[group.number as usize] += 1;
     }
     assert!(counts.iter().all(|count| (900..1_100).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn a_spare_machine_joins_the_smallest_group_and_takes_a_lost_members_place_in_any() {
+fn spare_joins_undersized_group_and_replaces_lost_member_in_any_group() {
     let policy = GroupPolicy::tolerating(1);
-    let map = policy.founding_map(&fleet(&[3, 3, 3]));
+    let map = policy.founding_map(&candidates_in_zones(&[3, 3, 3]));
     assert_eq!(map.groups().len(), 2);
     let spare = member("spare", "z0");
     let shrunk = map.groups()[1].without(&map.groups()[1].members[0].node);
@@ -238,9 +245,9 @@
     let lost = map.groups()[1].members[2].node.clone();
     for second in 0..=7 {
         for member in map.members() {
-            let _is_news = match member.node == lost && second > 0 {
+            let _has_changed = match member.node == lost && second > 0 {
                 true => watch.silent(&member.node, at(second * 1_000)),
-                false => watch.answered(&member.node, told(true), at(second * 1_000)),
+                false => watch.answered(&member.node, report(true), at(second * 1_000)),
             };
         }
     }
@@ -251,19 +258,26 @@
 }
 
 fn two_regions() -> Places {
-    let region = |name: &str| RegionName::new(name).expect("a name");
-    Places::new([("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(zone, of)| (Arc::from(zone), region(of))))
+    let region = |name: &str| RegionName::new(name).expect("valid region name");
+    Places::new([("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(zone, name)| (Arc::from(zone), region(name))))
 }
 
-/// What a group keeps may be bound to the regions it is in, and a new member reads all of it.
+/// A group's content may be restricted to its regions, and a new member reads all of it.
 #[test]
-fn a_group_never_spreads_to_another_region() {
+fn group_does_not_expand_to_another_region() {
     let policy = GroupPolicy::tolerating(2);
     let places = two_regions();
     let watch = MemberWatch::default();
     let small = Group::founded(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
     let step = |zone: &str| {
-        policy.place_step(&places, &only(small.clone()), &member("f", zone), &watch, Patience::LONG, at(0))
+        policy.place_step(
+            &places,
+            &single_group(small.clone()),
+            &member("f", zone),
+            &watch,
+            Patience::LONG,
+            at(0),
+        )
     };
     assert_eq!(step("b1"), PlaceStep::Stay);
     assert_eq!(step("unknown"), PlaceStep::Stay);
@@ -271,25 +285,24 @@
     assert_eq!(names(&group), ["a", "b", "c", "f"]);
 }
 
-/// The same where it takes a lost member's place.
 #[test]
-fn a_lost_member_is_not_replaced_from_another_region() {
+fn lost_member_is_not_replaced_from_another_region() {
     let policy = GroupPolicy::tolerating(1);
     let places = two_regions();
     let group = Group::founded(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
     let mut watch = MemberWatch::default();
     for (node, is_lost) in [("a", true), ("b", false), ("c", false)] {
-        watch.answered(node, told(true), at(0));
+        watch.answered(node, report(true), at(0));
         if is_lost {
             watch.silent(node, at(1));
         } else {
-            watch.answered(node, told(true), at(60_000));
+            watch.answered(node, report(true), at(60_000));
         }
     }
     let step = |zone: &str| {
         policy.place_step(
             &places,
-            &only(group.clone()),
+            &single_group(group.clone()),
             &member("f", zone),
             &watch,
             Patience::LONG,
--- a/crates/ledger/tests/recorded_forms/main.rs
+++ b/crates/ledger/tests/recorded_forms/main.rs
@@ -1,7 +1,8 @@
-//! Messages and records as earlier builds wrote them are read, those of today's build are written as they were recorded,
-//! and an earlier build reads them.
+//! Compatibility of encoded messages and records: this build decodes the forms of earlier builds and encodes the
+//! recorded newest forms, and earlier builds decode those.
 //!
-//! A new form is added as `sumacdrift_recorded_forms` says; lines of `fixtures/ledger.txt` are never changed.
+//! The documentation of `sumacdrift_recorded_forms` describes how to add a form. Lines of `fixtures/ledger.txt` are
+//! never changed.
 
 mod older;
 mod samples;
@@ -61,55 +62,55 @@
     RecordedForms::parse(include_str!("fixtures/ledger.txt"))
 }
 
-fn name_of_record(record: &Record) -> &'static str {
-    record_kind(record.kind.as_ref().expect("a kind"))
+fn record_kind_name(record: &Record) -> &'static str {
+    record_kind(record.kind.as_ref().expect("kind is set"))
 }
 
-fn name_of_request(request: &LedgerRequest) -> &'static str {
-    request_kind(request.kind.as_ref().expect("a kind"))
+fn request_kind_name(request: &LedgerRequest) -> &'static str {
+    request_kind(request.kind.as_ref().expect("kind is set"))
 }
 
-fn name_of_reply(reply: &LedgerReply) -> &'static str {
-    reply_kind(reply.kind.as_ref().expect("a kind"))
+fn reply_kind_name(reply: &LedgerReply) -> &'static str {
+    reply_kind(reply.kind.as_ref().expect("kind is set"))
 }
 
-fn check_newest(forms: &mut RecordedForms) {
+fn check_full(forms: &mut RecordedForms) {
     for (form, record) in full::records() {
-        forms.writes(&Codec::message(), name_of_record(&record), form, &record);
+        forms.writes(&Codec::message(), record_kind_name(&record), form, &record);
     }
     for (form, request) in full::requests() {
-        forms.writes(&Codec::message(), name_of_request(&request), form, &request);
+        forms.writes(&Codec::message(), request_kind_name(&request), form, &request);
     }
     for (form, reply) in full::replies() {
-        forms.writes(&Codec::message(), name_of_reply(&reply), form, &reply);
+        forms.writes(&Codec::message(), reply_kind_name(&reply), form, &reply);
     }
 }
 
 fn check_bare(forms: &mut RecordedForms) {
     for record in bare::records() {
-        forms.writes_bare(&Codec::message(), name_of_record(&record), &record);
+        forms.writes_bare(&Codec::message(), record_kind_name(&record), &record);
     }
     for request in bare::requests() {
-        forms.writes_bare(&Codec::message(), name_of_request(&request), &request);
+        forms.writes_bare(&Codec::message(), request_kind_name(&request), &request);
     }
     for reply in bare::replies() {
-        forms.writes_bare(&Codec::message(), name_of_reply(&reply), &reply);
+        forms.writes_bare(&Codec::message(), reply_kind_name(&reply), &reply);
     }
 }
 
 fn check_earlier(forms: &mut RecordedForms) {
     for (form, record) in earlier::records() {
-        forms.reads(&Codec::message(), name_of_record(&record), form, &record);
+        forms.reads(&Codec::message(), record_kind_name(&record), form, &record);
     }
     for (form, request) in earlier::requests() {
-        forms.reads(&Codec::message(), name_of_request(&request), form, &request);
+        forms.reads(&Codec::message(), request_kind_name(&request), form, &request);
     }
     for (form, reply) in earlier::replies() {
-        forms.reads(&Codec::message(), name_of_reply(&reply), form, &reply);
+        forms.reads(&Codec::message(), reply_kind_name(&reply), form, &reply);
     }
 }
 
-/// Numbers of kinds that were withdrawn were given to others. They are refused, not taken for something else.
+/// The tags of withdrawn kinds were reused. Their forms must be rejected, not decoded as another kind.
 fn check_withdrawn(forms: &mut RecordedForms) {
     forms.refuses(&Codec::<LedgerRequest>::message(), "Withdrawn.Keep", "1");
     forms.refuses(&Codec::<LedgerRequest>::message(), "Withdrawn.Fetch", "1");
@@ -117,9 +118,9 @@
 }
 
 #[test]
-fn recorded_forms_are_read_and_the_newest_of_them_written() {
+fn recorded_forms_are_decoded_and_newest_forms_are_encoded() {
     let mut forms = recorded();
-    check_newest(&mut forms);
+    check_full(&mut forms);
     check_bare(&mut forms);
     check_earlier(&mut forms);
     check_withdrawn(&mut forms);
@@ -128,57 +129,59 @@
     }
 }
 
-/// What an earlier build reads from what today's build writes, written again as that build writes it: the recorded form.
-fn reread<M: Message + Default>(newest: &impl Message) -> Vec<u8> {
-    M::decode(newest.encode_to_vec().as_slice()).expect("a message").encode_to_vec()
+/// Decodes the encoding of `newest` as a message of an earlier build and encodes the result.
+fn reencode_as<M: Message + Default>(newest: &impl Message) -> Vec<u8> {
+    M::decode(newest.encode_to_vec().as_slice()).expect("decodable message").encode_to_vec()
 }
 
 #[test]
-fn the_first_build_reads_what_it_knows_of_todays_messages() {
+fn first_build_decodes_the_kinds_that_it_knows() {
     let mut forms = recorded();
     for (_, record) in full::records().into_iter().filter(|(_, record)| older::first_knows_record(record)) {
-        let name = name_of_record(&record);
-        assert_eq!(reread::<older::first::Record>(&record), forms.bytes(name, "1"), "{name}");
+        let name = record_kind_name(&record);
+        assert_eq!(reencode_as::<older::first::Record>(&record), forms.bytes(name, "1"), "{name}");
     }
     for (_, request) in
         full::requests().into_iter().filter(|(_, request)| older::first_knows_request(request))
     {
-        let name = name_of_request(&request);
-        assert_eq!(reread::<older::first::LedgerRequest>(&request), forms.bytes(name, "1"), "{name}");
+        let name = request_kind_name(&request);
+        assert_eq!(reencode_as::<older::first::LedgerRequest>(&request), forms.bytes(name, "1"), "{name}");
     }
     for (_, reply) in full::replies().into_iter().filter(|(_, reply)| older::first_knows_reply(reply)) {
-        let name = name_of_reply(&reply);
-        assert_eq!(reread::<older::first::LedgerReply>(&reply), forms.bytes(name, "1"), "{name}");
+        let name = reply_kind_name(&reply);
+        assert_eq!(reencode_as::<older::first::LedgerReply>(&reply), forms.bytes(name, "1"), "{name}");
     }
 }
 
 #[test]
-fn the_first_build_takes_kinds_that_it_does_not_know_for_none() {
+fn first_build_decodes_unknown_kinds_as_none() {
     for (_, record) in full::records().into_iter().filter(|(_, record)| !older::first_knows_record(record)) {
-        let read = older::first::Record::decode(record.encode_to_vec().as_slice()).expect("a message");
-        assert_eq!(read.kind, None, "{}", name_of_record(&record));
+        let read =
+            older::first::Record::decode(record.encode_to_vec().as_slice()).expect("decodable message");
+        assert_eq!(read.kind, None, "{}", record_kind_name(&record));
     }
     for (_, request) in
         full::requests().into_iter().filter(|(_, request)| !older::first_knows_request(request))
     {
-        let read =
-            older::first::LedgerRequest::decode(request.encode_to_vec().as_slice()).expect("a message");
-        assert_eq!(read.kind, None, "{}", name_of_request(&request));
+        let read = older::first::LedgerRequest::decode(request.encode_to_vec().as_slice())
+            .expect("decodable message");
+        assert_eq!(read.kind, None, "{}", request_kind_name(&request));
     }
     for (_, reply) in full::replies().into_iter().filter(|(_, reply)| !older::first_knows_reply(reply)) {
-        let read = older::first::LedgerReply::decode(reply.encode_to_vec().as_slice()).expect("a message");
-        assert_eq!(read.kind, None, "{}", name_of_reply(&reply));
+        let read =
+            older::first::LedgerReply::decode(reply.encode_to_vec().as_slice()).expect("decodable message");
+        assert_eq!(read.kind, None, "{}", reply_kind_name(&reply));
     }
 }
 
 #[test]
-fn the_build_before_programs_and_recent_calls_reads_todays_quotas() {
+fn build_without_program_and_recent_calls_decodes_quota_messages() {
     let mut forms = recorded();
     for (_, request) in full::requests() {
-        let name = name_of_request(&request);
+        let name = request_kind_name(&request);
         if matches!(request.kind, Some(RequestKind::Quota(_) | RequestKind::QuotaTotals(_))) {
             assert_eq!(
-                reread::<older::first_quotas::LedgerRequest>(&request),
+                reencode_as::<older::first_quotas::LedgerRequest>(&request),
                 forms.bytes(name, "1"),
                 "{name}"
             );
@@ -187,33 +190,33 @@
 }
 
 #[test]
-fn builds_before_a_field_of_the_status_read_todays() {
+fn builds_without_newer_status_fields_decode_status() {
     let mut forms = recorded();
     let (_, status) = full::replies()
         .into_iter()
         .find(|(_, reply)| matches!(reply.kind, Some(ReplyKind::Status(_))))
-        .expect("a status");
-    let name = name_of_reply(&status);
-    assert_eq!(reread::<older::status::WithoutSilences>(&status), forms.bytes(name, "2"));
-    assert_eq!(reread::<older::status::WithoutOffer>(&status), forms.bytes(name, "3"));
+        .expect("status reply");
+    let name = reply_kind_name(&status);
+    assert_eq!(reencode_as::<older::status::WithoutSilences>(&status), forms.bytes(name, "2"));
+    assert_eq!(reencode_as::<older::status::WithoutOffer>(&status), forms.bytes(name, "3"));
 }
 
-/// Why a machine whose disk a build since f208a3d wrote must not go back to one before: that one takes a member that never
-/// voted for one that is complete, and lets it vote.
+/// Documents why a disk written by f208a3d or later must not be used by an earlier build: that build would let a member
+/// that never voted vote as if it were complete.
 #[test]
-fn the_first_build_takes_a_member_that_never_voted_for_a_complete_one() {
+fn first_build_decodes_never_voted_member_as_complete() {
     let never_voted = Standing { joined: 3, never_voted: true };
     let complete = Standing { joined: 3, never_voted: false };
-    assert_eq!(reread::<older::first::Standing>(&never_voted), complete.encode_to_vec());
+    assert_eq!(reencode_as::<older::first::Standing>(&never_voted), complete.encode_to_vec());
 }
 
-/// A journal that the first build wrote is one that today's replica goes on from.
+/// Guards against an upgrade that loses the journal of an earlier build.
 #[test]
-fn a_replica_replays_the_first_builds_records() {
+fn replica_replays_records_of_the_first_build() {
     let mut forms = recorded();
     let mut replica = Replica::new(ReplicaSettings { node: "m1".to_owned(), is_first_start: false });
     for name in ["RecordKind.Group", "RecordKind.Standing", "RecordKind.Begun", "RecordKind.Ended"] {
-        let record = Record::decode(forms.bytes(name, "1").as_slice()).expect("a record");
+        let record = Record::decode(forms.bytes(name, "1").as_slice()).expect("decodable record");
         replica.replay(&record);
     }
     assert!(replica.is_voting());
@@ -221,9 +224,9 @@
     assert_eq!((replica.state().programs(), replica.state().kept_turns()), (1, 1));
 }
 
-/// Records of a kind that a newer build writes are passed over: the others hold.
+/// Guards against a downgrade that stops at a record of a newer build.
 #[test]
-fn a_replica_passes_over_records_of_kinds_that_it_does_not_know() {
+fn replica_skips_records_of_unknown_kind() {
     let mut replica = Replica::new(ReplicaSettings { node: "m1".to_owned(), is_first_start: false });
     let (_, known) = full::records().swap_remove(0);
     replica.replay(&Record { kind: None, expiry_millis: 1000 });
@@ -231,11 +234,11 @@
     assert_eq!(replica.state().programs(), 1);
 }
 
-/// Nodes of all builds must send a program to the same group.
+/// Nodes of different builds must agree on the group of a program.
 #[test]
-fn every_build_gives_a_program_the_same_group() {
+fn assignment_of_programs_to_groups_is_stable() {
     let groups = (0..4).map(|number| Group { number, epoch: 1, members: Vec::new() });
     let map = GroupMap::new(groups.collect());
-    let number = |program: &str| map.group_of(program).expect("a group").number;
+    let number = |program: &str| map.group_of(program).expect("map has groups").number;
     assert_eq!(["program-1", "program-2", "program-3", "program-4"].map(number), [0, 3, 1, 3]);
 }
--- a/crates/ledger/tests/recorded_forms/older.rs
+++ b/crates/ledger/tests/recorded_forms/older.rs
@@ -1,15 +1,13 @@
-//! Messages as earlier builds knew them, where they differ from today's: their fields and numbers, copied from those builds.
+//! Message definitions copied from earlier builds, where they differ from the current ones.
 
 use sumacdrift_ledger::{LedgerReply, LedgerRequest, Record, RecordKind, ReplyKind, RequestKind};
 
-/// Whether the first build knows a record's kind.
 pub fn first_knows_record(record: &Record) -> bool {
     !matches!(record.kind, Some(RecordKind::Copy(_) | RecordKind::Reading(_)))
 }
 
-/// Whether the first build knows a request's kind.
 pub fn first_knows_request(request: &LedgerRequest) -> bool {
-    let kind = request.kind.as_ref().expect("a kind");
+    let kind = request.kind.as_ref().expect("kind is set");
     matches!(
         kind,
         RequestKind::Begin(_)
@@ -22,13 +20,12 @@
     )
 }
 
-/// Whether the first build knows a reply's kind.
 pub fn first_knows_reply(reply: &LedgerReply) -> bool {
-    let kind = reply.kind.as_ref().expect("a kind");
+    let kind = reply.kind.as_ref().expect("kind is set");
     !matches!(kind, ReplyKind::NeverVoted(_) | ReplyKind::Map(_) | ReplyKind::Busy(_) | ReplyKind::Quota(_))
 }
 
-/// The first build of the ledger, e62608e.
+/// First build of the ledger, e62608e.
 pub mod first {
     use sumacdrift_ledger::{
         Begin, BeginVote, ChainReply, ChainRequest, End, MemberMessage, TurnBegun, TurnEnded,
@@ -157,7 +154,7 @@
     }
 }
 
-/// The first build that counted tenants' calls, 5ec6a2e.
+/// First build with tenant quotas, 5ec6a2e.
 pub mod first_quotas {
     #[derive(Clone, PartialEq, prost::Message)]
     pub struct LedgerRequest {
@@ -214,11 +211,11 @@
     }
 }
 
-/// Replies with a status, of builds before its newer fields.
+/// Status replies of builds without the newer fields.
 pub mod status {
     use sumacdrift_ledger::{GroupMessage, SilentMember};
 
-    /// Of 5ec6a2e.
+    /// Build 5ec6a2e.
     #[derive(Clone, PartialEq, prost::Message)]
     pub struct WithoutSilences {
         #[prost(message, optional, tag = "7")]
@@ -239,7 +236,7 @@
         pub group: Option<GroupMessage>,
     }
 
-    /// Of 34a3fa1.
+    /// Build 34a3fa1.
     #[derive(Clone, PartialEq, prost::Message)]
     pub struct WithoutOffer {
         #[prost(message, optional, tag = "7")]
--- a/crates/ledger/tests/recorded_forms/samples.rs
+++ b/crates/ledger/tests/recorded_forms/samples.rs
@@ -1,4 +1,4 @@
-//! Values of each kind: with every optional field set, with none, and as they are read from earlier forms.
+//! Sample values of each kind: with every optional field set, with none set, and as decoded from earlier forms.
 
 use bytes::Bytes;
 use sumacdrift_ledger::{
@@ -115,7 +115,7 @@
     ReplyKind::Page(Page { records, next: text("tturn-1"), kept_turns })
 }
 
-/// A status as the first build wrote it.
+/// Status with only the fields of the first build.
 fn first_status(number: u32) -> StatusReply {
     StatusReply {
         node: text("m1"),
@@ -133,7 +133,7 @@
     StatusReply { is_watching: true, silent, ..first_status(GROUP) }
 }
 
-/// Every optional field is set. The number of the form is that of the newest one.
+/// Values with every optional field set, and the number of the newest form of their kind.
 pub mod full {
     use super::*;
 
@@ -199,7 +199,7 @@
     }
 }
 
-/// No optional field is set.
+/// Values without optional fields.
 pub mod bare {
     use super::*;
 
@@ -254,7 +254,7 @@
     }
 }
 
-/// What is read from forms of earlier builds, by the number of the form.
+/// Values decoded from forms of earlier builds, with the number of the form.
 pub mod earlier {
     use super::*;
 
--- a/crates/ledger/tests/replica.rs
+++ b/crates/ledger/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Single rules of replicas, votes and chains.
+//! Unit tests of replicas, votes, pages and chains.
 
 use std::collections::BTreeSet;
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_founder_votes_and_a_machine_without_records_does_not() {
+fn founder_votes_and_wiped_replica_does_not() {
     let founders = group(1, &[("a", 1), ("b", 1), ("c", 1)]);
     let mut founder = replica("a", true);
     founder.install(founders.clone());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_spare_machine_of_the_first_start_does_not_vote_when_it_joins_later() {
+fn spare_of_first_start_reads_others_before_voting() {
     let mut spare = replica("d", true);
     spare.install(group(1, &[("a", 1), ("b", 1), ("c", 1)]));
     spare.install(group(2, &[("a", 1), ("b", 1), ("d", 2)]));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_was_read_under_an_earlier_group_does_not_count() {
+fn reads_of_earlier_epoch_are_discarded() {
     let mut joining = replica("d", false);
     joining.install(group(2, &[("a", 1), ("b", 1), ("d", 2)]));
     assert!(joining.source_read("a", 2).is_some());
@@ -93,17 +93,17 @@
 }
 
 #[test]
-fn a_machine_that_left_and_joined_again_reads_the_others_first() {
+fn rejoined_replica_does_not_vote_before_catch_up() {
     let mut back = replica("a", true);
     back.install(group(1, &[("a", 1), ("b", 1), ("c", 1)]));
     assert!(back.is_voting());
-    // The group without it was never seen here.
+    // The replica never saw the group at epoch 2, which did not include it.
     back.install(group(3, &[("a", 3), ("b", 1), ("c", 1)]));
     assert!(!back.is_voting());
 }
 
 #[test]
-fn requests_of_another_epoch_are_not_served() {
+fn requests_of_another_epoch_are_rejected() {
     let mut replica = replica("a", true);
     replica.install(group(4, &[("a", 1), ("b", 1), ("c", 1)]));
     for epoch in [3, 5] {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_replica_that_is_not_complete_hands_no_pages_out() {
+fn incomplete_replica_serves_no_pages() {
     let mut wiped = replica("a", false);
     let members = group(1, &[("a", 1), ("b", 1)]);
     let request = PageRequest { group: Some(members.to_message()), ..PageRequest::default() };
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_turn_counts_its_most_until_its_end_is_known() {
+fn turn_is_charged_its_maximum_until_its_end() {
     let mut replica = replica("a", true);
     replica.install(group(1, &[("a", 1)]));
     begin(&mut replica, 1, "one");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_begin_that_arrives_behind_its_end_does_not_open_the_turn_again() {
+fn begin_after_end_does_not_reopen_turn() {
     let mut state = LedgerState::default();
     state.end(&ended("one", 10), NOW);
     state.begin(&begun("one"), NOW);
@@ -153,14 +153,14 @@
 }
 
 #[test]
-fn what_voters_know_together_counts() {
+fn budget_applies_to_union_of_votes() {
     let mut quorum = BeginQuorum::new(2, 250, 100);
     assert_eq!(quorum.vote(vote(&[("one", 100, false)], true)), BeginDecision::Pending);
     assert_eq!(quorum.vote(vote(&[("two", 100, false)], true)), BeginDecision::BudgetSpent);
 }
 
 #[test]
-fn a_known_end_goes_before_a_reservation() {
+fn known_end_overrides_reservation() {
     let mut quorum = BeginQuorum::new(2, 250, 100);
     quorum.vote(vote(&[("one", 100, false), ("two", 100, false)], true));
     assert_eq!(quorum.vote(vote(&[("one", 5, true)], true)), BeginDecision::Admitted);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_turn_is_unknown_only_if_a_majority_does_not_know_it() {
+fn previous_turn_is_unknown_only_if_unknown_to_majority() {
     let unknown = BeginVote { knows_previous: false, ..vote(&[], true) };
     let mut quorum = BeginQuorum::new(2, 0, 100);
     quorum.vote(unknown.clone());
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn pages_carry_everything_once() {
+fn pages_transfer_whole_state() {
     let mut state = LedgerState::default();
     for number in 0..300 {
         let content = RetainedTurn {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_chain_is_put_together_from_several_replicas() {
+fn chain_is_assembled_from_several_replies() {
     let turn = |previous: &str, text: &str| RetainedTurn {
         previous: previous.to_owned(),
         input: Bytes::from(format!("<{text}>")),
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn records_are_kept_for_longer_than_asked_and_then_forgotten() {
+fn records_expire_after_twice_their_retention() {
     let mut state = LedgerState::default();
     state.begin(&begun("one"), NOW);
     state.expire(NOW + 60_000);
@@ -234,18 +234,18 @@
 }
 
 #[test]
-fn only_a_newer_copy_replaces_a_copy() {
+fn stored_copy_is_replaced_only_by_newer_one() {
     let mut replica = replica("a", false);
-    let mut keep = |number: u64, text: &'static str| {
+    let mut store_copy = |number: u64, text: &'static str| {
         let copy = sumacdrift_ledger::StoredCopy { number, content: Bytes::from_static(text.as_bytes()) };
         replica.keep(copy).into_iter().count()
     };
-    assert_eq!((keep(5, "five"), keep(4, "four"), keep(5, "other")), (1, 0, 0));
+    assert_eq!((store_copy(5, "five"), store_copy(4, "four"), store_copy(5, "other")), (1, 0, 0));
     assert_eq!(&replica.state().copy().content[..], b"five");
 }
 
-/// Machine `d` has joined a group that `b` left, and `c` loses its disk before `d` has read it.
-fn joined_and_wiped() -> (Replica, Replica) {
+/// Replicas of `d`, which has joined a group that `b` left, and of `c`, which lost its disk before `d` read it.
+fn joining_and_wiped() -> (Replica, Replica) {
     let joined = group(3, &[("a", 1), ("c", 1), ("d", 3)]);
     let mut joining = replica("d", false);
     joining.install(joined.clone());
@@ -254,7 +254,7 @@
     (joining, wiped)
 }
 
-fn page_of(replica: &mut Replica, epoch: u64) -> Option<ReplyKind> {
+fn first_page(replica: &mut Replica, epoch: u64) -> Option<ReplyKind> {
     let request = LedgerRequest {
         epoch,
         kind: Some(RequestKind::Page(PageRequest::default())),
@@ -264,42 +264,42 @@
 }
 
 #[test]
-fn a_member_that_never_voted_holds_nobody_up() {
-    let (mut joining, mut wiped) = joined_and_wiped();
+fn member_that_never_voted_does_not_block_catch_up() {
+    let (mut joining, mut wiped) = joining_and_wiped();
     joining.join_as_new(3);
     assert_eq!((joining.sources_left(), wiped.sources_left()), (1, 2));
-    assert!(matches!(page_of(&mut joining, 3), Some(ReplyKind::NeverVoted(_))));
+    assert!(matches!(first_page(&mut joining, 3), Some(ReplyKind::NeverVoted(_))));
     assert!(wiped.source_never_voted("d", 3).is_none());
     wiped.source_read("a", 3);
     joining.source_read("a", 3);
     assert!(wiped.is_voting() && joining.is_voting());
-    // From now on it may have voted.
-    assert!(matches!(page_of(&mut joining, 3), Some(ReplyKind::Page(_))));
+    // It votes now, so it no longer reports that it never did.
+    assert!(matches!(first_page(&mut joining, 3), Some(ReplyKind::Page(_))));
 }
 
 #[test]
-fn who_is_not_sure_that_it_never_voted_does_not_say_so() {
-    let (mut joining, _) = joined_and_wiped();
-    assert!(matches!(page_of(&mut joining, 3), Some(ReplyKind::NotVoting(_))));
+fn member_reports_never_voted_only_if_certain() {
+    let (mut joining, _) = joining_and_wiped();
+    assert!(matches!(first_page(&mut joining, 3), Some(ReplyKind::NotVoting(_))));
     assert_eq!(joining.sources_left(), 2);
-    // Another membership of the same machine is another matter.
+    // The record applies only to the membership of its epoch.
     joining.join_as_new(3);
     joining.install(group(5, &[("a", 1), ("c", 1), ("d", 5)]));
-    assert!(matches!(page_of(&mut joining, 5), Some(ReplyKind::NotVoting(_))));
+    assert!(matches!(first_page(&mut joining, 5), Some(ReplyKind::NotVoting(_))));
 }
 
 #[test]
-fn that_it_never_voted_outlasts_a_restart() {
+fn never_voted_survives_restart() {
     let joined = group(3, &[("a", 1), ("c", 1), ("d", 3)]);
     let mut joining = replica("d", false);
-    let records = [joining.install(joined).expect("a record"), joining.join_as_new(3)];
+    let records = [joining.install(joined).expect("group record"), joining.join_as_new(3)];
     let settings = ReplicaSettings { node: "d".to_owned(), is_first_start: false };
     let mut restarted = Replica::new(settings);
     records.iter().for_each(|record| restarted.replay(record));
-    assert!(matches!(page_of(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
+    assert!(matches!(first_page(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
 }
 
-/// The replica of a node as it is after a restart with these records.
+/// Replica restarted with these records.
 fn restarted(node: &str, records: &[Record]) -> Replica {
     let mut restarted = Replica::new(ReplicaSettings { node: node.to_owned(), is_first_start: false });
     records.iter().for_each(|record| restarted.replay(record));
@@ -308,35 +308,35 @@
 }
 
 #[test]
-fn a_snapshot_keeps_that_a_member_never_voted() {
+fn never_voted_survives_snapshot() {
     let mut joining = replica("d", false);
     joining.join_as_new(3);
     joining.install(group(3, &[("a", 1), ("c", 1), ("d", 3)]));
     let mut restarted = restarted("d", &joining.snapshot(NOW));
-    assert!(matches!(page_of(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
+    assert!(matches!(first_page(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
 }
 
 #[test]
-fn a_member_knows_that_it_never_voted_before_its_seat_is_sure() {
+fn never_voted_is_recorded_before_join_is_confirmed() {
     let mut joining = replica("d", false);
-    // The change was asked for, and no answer came; it was made all the same.
+    // The change was requested and applied, but the reply was lost.
     let records = [joining.join_as_new(3)];
     let mut restarted = restarted("d", &records);
     restarted.install(group(3, &[("a", 1), ("c", 1), ("d", 3)]));
-    assert!(matches!(page_of(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
-    // Another one was quicker, and the seat came later.
+    assert!(matches!(first_page(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
+    // A concurrent change won, and the replica joined at a later epoch.
     let mut later = self::restarted("d", &records);
     later.install(group(4, &[("a", 1), ("c", 1), ("d", 4)]));
-    assert!(matches!(page_of(&mut later, 4), Some(ReplyKind::NotVoting(_))));
+    assert!(matches!(first_page(&mut later, 4), Some(ReplyKind::NotVoting(_))));
 }
 
 #[test]
-fn what_a_replica_has_read_outlasts_a_restart() {
+fn catch_up_progress_survives_restart() {
     let group = group(2, &[("a", 1), ("b", 1), ("d", 2)]);
-    let mut reading = replica("d", false);
-    let mut records = vec![reading.install(group.clone()).expect("a record")];
-    records.extend(reading.source_read("a", 2));
-    assert!(!reading.is_voting());
+    let mut joining = replica("d", false);
+    let mut records = vec![joining.install(group.clone()).expect("group record")];
+    records.extend(joining.source_read("a", 2));
+    assert!(!joining.is_voting());
     let mut restarted = restarted("d", &records);
     assert_eq!(restarted.sources_left(), 1);
     assert!(restarted.source_read("b", 2).is_some());
@@ -344,16 +344,16 @@
 }
 
 #[test]
-fn what_was_read_under_an_earlier_group_does_not_count_after_a_restart() {
-    let mut reading = replica("d", false);
-    let mut records = vec![reading.install(group(2, &[("a", 1), ("b", 1), ("d", 2)])).expect("a record")];
-    records.extend(reading.source_read("a", 2));
-    records.extend(reading.install(group(3, &[("a", 1), ("d", 2), ("e", 3)])));
+fn reads_of_earlier_epoch_are_discarded_on_restart() {
+    let mut joining = replica("d", false);
+    let mut records = vec![joining.install(group(2, &[("a", 1), ("b", 1), ("d", 2)])).expect("group record")];
+    records.extend(joining.source_read("a", 2));
+    records.extend(joining.install(group(3, &[("a", 1), ("d", 2), ("e", 3)])));
     assert_eq!(restarted("d", &records).sources_left(), 2);
 }
 
 #[test]
-fn a_member_that_leaves_votes_no_more() {
+fn leaving_member_does_not_vote() {
     let mut leaving = replica("a", true);
     leaving.install(group(1, &[("a", 1), ("b", 1), ("c", 1)]));
     leaving.set_leaving(true);
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn a_second_source_is_read_without_what_is_held_already() {
+fn second_source_transfers_only_missing_contents() {
     let mut sources = ["a", "b"].map(|node| {
         let mut source = replica(node, true);
         source.install(group(1, &[("a", 1), ("b", 1), ("c", 1)]));
@@ -388,20 +388,20 @@
     assert_eq!(wiped.lacking(&keys), ["t3"]);
     let contents = sources[1].state().contents(&wiped.lacking(&keys), NOW);
     assert_eq!(wiped.take_page(contents, NOW).len(), 1);
-    // Nothing in the page itself is new any more, so nothing is written to the journal again.
+    // The page itself adds nothing, so that nothing is written to the journal again.
     assert!(wiped.take_page(keys, NOW).is_empty());
     assert_eq!(wiped.state().kept_turns(), 3);
 }
 
 #[test]
-fn a_member_that_leaves_makes_as_many_copies_as_a_majority_lacks() {
+fn leaving_member_copies_turns_until_majority_holds_them() {
     let held = |turns: &[&str]| turns.iter().map(|turn| (*turn).to_owned()).collect::<BTreeSet<String>>();
     let holds = [held(&["t1", "t2"]), held(&["t1"]), held(&["t1"]), held(&[])];
     let turns = ["t1", "t2", "t3"].map(str::to_owned);
     let copies = copies_to_make(&turns, &holds.iter().collect::<Vec<_>>(), 3);
     for (turn, wanted) in [("t1", 0), ("t2", 2), ("t3", 3)] {
-        let made = copies.iter().filter(|turns| turns.iter().any(|made| made == turn)).count();
-        assert_eq!(made, wanted, "{turn}");
+        let copied = copies.iter().filter(|turns| turns.iter().any(|copied| copied == turn)).count();
+        assert_eq!(copied, wanted, "{turn}");
     }
     assert!(!copies[0].contains(&"t2".to_owned()));
     assert!(copies_to_make(&turns, &[], 2).is_empty());
--- a/crates/ledger/tests/simulation.rs
+++ b/crates/ledger/tests/simulation.rs
@@ -1,37 +1,41 @@
-//! Budgets and kept turns under lost messages, wiped disks, restarts and changes of the group.
+//! Randomized simulation: budgets hold and committed turns survive lost messages, lost disks, restarts and group
+//! changes.
 
-mod world;
+mod cluster;
 
-use world::World;
+use cluster::Cluster;
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 1_500;
 
 #[test]
-fn a_group_of_three_bears_one_loss() {
-    budgets_hold_and_committed_turns_stay(1);
+fn group_of_three_survives_one_loss() {
+    check_budgets_and_committed_turns(1);
 }
 
 #[test]
-fn a_group_of_five_bears_two_losses() {
-    budgets_hold_and_committed_turns_stay(2);
+fn group_of_five_survives_two_losses() {
+    check_budgets_and_committed_turns(2);
 }
 
-fn budgets_hold_and_committed_turns_stay(tolerated_losses: usize) {
-    let (mut wipes, mut replacements, mut refusals, mut joins) = (0, 0, 0, 0);
+fn check_budgets_and_committed_turns(tolerated_losses: usize) {
+    let (mut lost_disks, mut replacements, mut rejections, mut joins) = (0, 0, 0, 0);
     for seed in 0..SEEDS {
         let run = std::panic::catch_unwind(|| {
-            let mut world = World::new(seed, tolerated_losses);
-            (0..STEPS).for_each(|_| world.step());
-            (world.wipes, world.replacements, world.refusals, world.joins.min(world.leaves))
+            let mut cluster = Cluster::new(seed, tolerated_losses);
+            (0..STEPS).for_each(|_| cluster.step());
+            (cluster.lost_disks, cluster.replacements, cluster.rejections, cluster.joins.min(cluster.leaves))
         });
-        let Ok(counts) = run else { panic!("seed {seed} broke a rule, see above") };
-        wipes += counts.0;
+        let Ok(counts) = run else { panic!("seed {seed} violated an invariant, see above") };
+        lost_disks += counts.0;
         replacements += counts.1;
-        refusals += counts.2;
+        rejections += counts.2;
         joins += counts.3;
     }
-    // A run in which nothing happens would prove nothing.
-    assert!(wipes > 1_000 && replacements > 1_000 && refusals > 1_000, "{wipes} {replacements} {refusals}");
+    // Guards against a simulation that no longer exercises these events.
+    assert!(
+        lost_disks > 1_000 && replacements > 1_000 && rejections > 1_000,
+        "{lost_disks} {replacements} {rejections}"
+    );
     assert!(joins > 200, "{joins}");
 }
--- a/crates/ledger/tests/zone_loss.rs
+++ b/crates/ledger/tests/zone_loss.rs
@@ -1,14 +1,14 @@
-//! Whatever becomes of machines, the loss of one zone leaves every whole group a majority.
+//! Randomized simulation: the loss of any one zone leaves every complete group a majority.
 
-mod zone_world;
+mod zone_simulation;
 
-use zone_world::play;
+use zone_simulation::simulate;
 
 #[test]
-fn a_zone_that_is_lost_leaves_a_majority() {
+fn loss_of_any_zone_leaves_a_majority() {
     for seed in 0..10_000 {
-        if let Err(fault) = play(seed) {
-            panic!("seed {seed}: {fault}");
+        if let Err(violation) = simulate(seed) {
+            panic!("seed {seed}: {violation}");
         }
     }
 }
--- a/crates/ledger/tests/zone_world/mod.rs
+++ b/crates/ledger/tests/zone_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet whose machines are lost, emptied and added, as its groups change by the policy alone.
+//! Simulated fleet whose machines fail, are drained and are added, with groups changed only by the placement policy.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use sumacdrift_types::{Places, Timestamp};
 
 const STEPS: usize = 30;
-/// Long enough that a silent member counts as lost.
-const LOST: Duration = Duration::from_secs(60);
+/// Time per step, long enough that an unresponsive member counts as lost.
+const STEP_TIME: Duration = Duration::from_secs(60);
 
-struct World {
+struct Fleet {
     policy: GroupPolicy,
     map: GroupMap,
     machines: Vec<Member>,
@@ -29,18 +29,18 @@
     Member { node: format!("m{number:03}"), address, zone: format!("z{zone}"), joined: 0 }
 }
 
-/// Plays a seed; an error says which loss of a zone would leave no majority.
-pub fn play(seed: u64) -> Result<(), String> {
-    let mut world = World::new(seed);
-    world.check()?;
+/// Runs a simulation; an error names the zone whose loss would leave a group without a majority.
+pub fn simulate(seed: u64) -> Result<(), String> {
+    let mut fleet = Fleet::new(seed);
+    fleet.check_majorities()?;
     for _ in 0..STEPS {
-        world.step();
-        world.check()?;
+        fleet.step();
+        fleet.check_majorities()?;
     }
     Ok(())
 }
 
-impl World {
+impl Fleet {
     fn new(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let losses = random.random_range(1..=2);
@@ -58,16 +58,16 @@
         Self { policy, map, machines, down: BTreeSet::new(), now: Timestamp::default(), random }
     }
 
-    /// Something happens, and every machine that is there does about its place what the policy says.
+    /// Applies a random event, then the group changes that each running machine requests.
     fn step(&mut self) {
-        let picked = self.machines.choose(&mut self.random).expect("a machine").clone();
+        let picked = self.machines.choose(&mut self.random).expect("at least one machine").clone();
         match self.random.random_range(0..4) {
             0 => drop(self.down.insert(picked.node)),
             1 => drop(self.down.remove(&picked.node)),
             2 => self.machines.push(machine(self.machines.len(), self.random.random_range(0..6))),
-            _ => self.empty(&picked),
+            _ => self.drain(&picked),
         }
-        self.now = self.now + LOST;
+        self.now = self.now + STEP_TIME;
         let watch = self.watch();
         for own in self.machines.clone() {
             if self.down.contains(&own.node) {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// A machine leaves its group for good.
-    fn empty(&mut self, machine: &Member) {
+    /// Removes a machine from its group and, unless it is the last one, from the fleet.
+    fn drain(&mut self, machine: &Member) {
         if let Some(group) = self.map.seat_of(&machine.node).cloned() {
             self.map = self.map.with(group.without(&machine.node));
         }
@@ -113,13 +113,16 @@
         watch
     }
 
-    /// A group that is whole keeps a majority though any zone is lost.
-    fn check(&self) -> Result<(), String> {
+    /// Checks that every complete group keeps a majority if any one zone is lost.
+    fn check_majorities(&self) -> Result<(), String> {
         for group in self.map.groups().iter().filter(|group| group.members.len() >= self.policy.size()) {
             for lost in &group.members {
-                let left = group.members.iter().filter(|member| member.zone != lost.zone).count();
-                if left < group.majority() {
-                    return Err(format!("{left} of {group:?} are left without {}", lost.zone));
+                let remaining = group.members.iter().filter(|member| member.zone != lost.zone).count();
+                if remaining < group.majority() {
+                    return Err(format!(
+                        "{remaining} members of {group:?} remain without zone {}",
+                        lost.zone
+                    ));
                 }
             }
         }
