--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -1,6 +1,6 @@
-//! One replica of one program shard: the replicated log and the program state machine put together.
+//! Replica of a program shard: the replicated log combined with the program state machine.
 //!
-//! Still without input or output of its own, so that the node, the simulator and the fuzzer drive the same code.
+//! Performs no I/O, so that the node, the simulator and the fuzzer run the same code.
 
 mod repair;
 mod replica;
--- a/crates/shard/src/repair.rs
+++ b/crates/shard/src/repair.rs
@@ -1,4 +1,4 @@
-//! Replacement of lost replicas, decided by the shard's leader.
+//! Replacement of failed replicas by the shard's leader.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::ProgramShard;
 
-/// The fleet as a leader sees it when it looks after its replicas.
+/// Fleet state that a leader uses for repair.
 #[derive(Debug, Clone, Default)]
 pub struct FleetView {
-    /// Lives that answer and stay; they may hold replicas.
+    /// Node incarnations that answer and are not leaving, and so may host replicas.
     pub usable: Vec<Candidate>,
-    /// Lives that will not come back: replaced by a later life of their node, or leaving. A life that is in
-    /// neither list is silent.
+    /// Incarnations that will not return: superseded by a later incarnation of their node, or leaving. An incarnation
+    /// in neither collection is unresponsive.
     pub departed: BTreeSet<ReplicaId>,
 }
 
@@ -24,17 +24,16 @@
     }
 }
 
-/// Voters that a group keeps at least.
 const MIN_VOTERS: usize = 2;
 
-/// How repair proceeds.
+/// Settings of repair.
 #[derive(Debug, Clone, Copy)]
 pub struct RepairSettings {
-    /// Replicas that a shard should have.
+    /// Target number of voters of a shard.
     pub replicas: usize,
-    /// Time between two steps of repair.
+    /// Minimum time between two repair steps.
     pub interval: Duration,
-    /// A learner whose log is this close to the leader's gets a vote.
+    /// Maximum lag of a learner, in log entries, at which it is promoted to voter.
     pub caught_up_entries: u64,
 }
 
@@ -45,43 +44,45 @@
 }
 
 impl ProgramShard {
-    /// Takes one step of repair, if this replica leads and one is due.
+    /// Performs a repair step if this replica is the established leader and a step is due.
     pub fn repair(&mut self, fleet: &FleetView, now: Timestamp) {
         if now < self.next_repair || !self.replica.is_established_leader() {
             return;
         }
         self.next_repair = now + self.settings.repair.interval;
         if let Some(change) = self.next_change(fleet) {
-            // A change that is still pending is tried again at the next step.
+            // A change that is rejected because another is pending is retried at the next step.
             let _ = self.replica.change_configuration(change, now);
             self.run_actions(now);
         }
     }
 
-    /// Whether this replica leads a group that has fewer voters than it could have.
+    /// Whether this replica is the established leader and its group has learners or needs a configuration change.
     pub fn needs_repair(&self, fleet: &FleetView) -> bool {
         let has_learners = !self.replica.configuration().learners.is_empty();
         self.replica.is_established_leader() && (has_learners || self.next_change(fleet).is_some())
     }
 
-    /// A departed voter is removed before its replacement gets a vote: while it counts, a group of four with one
-    /// lost member bears no further loss. A silent voter is removed only after its replacement: it may come
-    /// back, and a group that shrank to two and then loses one of them could not make use of it.
+    /// Next configuration change, if one is needed and possible.
+    ///
+    /// A departed voter is removed before its replacement is promoted: while it counts, a group of four with one lost
+    /// member tolerates no further loss. An unresponsive voter is removed only after its replacement is promoted: it
+    /// may return, but to a group that shrank to two and then lost one of them it would be of no use.
     fn next_change(&self, fleet: &FleetView) -> Option<ConfigurationChange> {
         let configuration = self.replica.configuration();
-        if let Some(lost) = configuration.learners.iter().find(|learner| !fleet.is_usable(**learner)) {
-            return Some(ConfigurationChange::Remove(*lost));
+        if let Some(unusable) = configuration.learners.iter().find(|learner| !fleet.is_usable(**learner)) {
+            return Some(ConfigurationChange::Remove(*unusable));
         }
         let present = configuration.voters.iter().filter(|voter| fleet.is_usable(**voter)).count();
-        let others = || configuration.voters.iter().filter(|voter| **voter != self.own);
-        let departed = others().find(|voter| fleet.departed.contains(voter));
-        // A group is never shrunk to a single voter: what one replica alone commits is lost with it.
+        let peers = || configuration.voters.iter().filter(|voter| **voter != self.own_id);
+        let departed = peers().find(|voter| fleet.departed.contains(voter));
+        // A group never shrinks to a single voter, whose loss would lose everything that it committed alone.
         if let Some(departed) = departed.filter(|_| present >= MIN_VOTERS) {
             return Some(ConfigurationChange::Remove(*departed));
         }
         let caught_up = self.settings.repair.caught_up_entries;
-        let ready = |learner: &&ReplicaId| self.replica.is_caught_up(**learner, caught_up);
-        if let Some(learner) = configuration.learners.iter().find(ready) {
+        let is_ready = |learner: &&ReplicaId| self.replica.is_caught_up(**learner, caught_up);
+        if let Some(learner) = configuration.learners.iter().find(is_ready) {
             return Some(ConfigurationChange::Promote(*learner));
         }
         if !configuration.learners.is_empty() {
@@ -90,7 +91,9 @@
         if present < self.settings.repair.replicas {
             return self.replacement(&fleet.usable).map(ConfigurationChange::AddLearner);
         }
-        others().find(|voter| !fleet.is_usable(**voter)).map(|silent| ConfigurationChange::Remove(*silent))
+        peers()
+            .find(|voter| !fleet.is_usable(**voter))
+            .map(|unresponsive| ConfigurationChange::Remove(*unresponsive))
     }
 
     fn replacement(&self, candidates: &[Candidate]) -> Option<ReplicaId> {
