--- a/crates/scheduling/src/cost.rs
+++ b/crates/scheduling/src/cost.rs
@@ -1,58 +1,57 @@
-//! The cost model: one plain function from an engine's load and a call to an estimate.
+//! Cost model: estimates the latency of a call from an engine's load and learned rates.
 
 use sumacdrift_types::{EngineName, TokenCount};
 
 use crate::EngineRates;
 
-/// Share of a step that decoding sequences take from prefill, at the most.
+/// Largest fraction of the prefill rate that is lost to decoding, reached when all slots are in use.
 const MAX_DECODE_SHARE: f64 = 0.5;
 
-/// What an engine has to do already.
+/// Current load of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineLoad {
-    /// Calls sent to the engine and not ended.
+    /// Calls sent to the engine that have not ended.
     pub running: usize,
-    /// Calls that the engine may run at a time.
+    /// Maximum concurrent calls at the engine.
     pub max_running: usize,
-    /// Prompt tokens of running calls that are still to be computed, by estimate.
+    /// Estimated uncached prompt tokens of running calls.
     pub pending_prefill_tokens: TokenCount,
-    /// Calls that wait at the owner.
+    /// Calls that wait in the owner's queue.
     pub queued: usize,
-    /// Prompt tokens to be computed for calls that wait.
+    /// Estimated uncached prompt tokens of waiting calls.
     pub queued_prefill_tokens: TokenCount,
-    /// Context tokens of running calls.
+    /// Prompt tokens of running calls, cached ones included.
     pub context_tokens: TokenCount,
-    /// Tokens that the engine's cache memory holds.
+    /// Tokens that fit in the engine's cache memory.
     pub capacity_tokens: TokenCount,
 }
 
-/// What a call would meet at an engine.
+/// Expected latency and cache effects of a call at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Estimate {
-    /// Seconds until the call is sent.
+    /// Seconds in the owner's queue.
     pub queue_seconds: f64,
-    /// Seconds until the first token.
+    /// Seconds until the first token, queue time included.
     pub first_token_seconds: f64,
-    /// Seconds until the end.
+    /// Seconds until the last token, queue time included.
     pub finish_seconds: f64,
-    /// Prompt tokens to be computed.
+    /// Prompt tokens that have to be computed.
     pub uncached_tokens: TokenCount,
-    /// Tokens of other programs' context that it would push out.
+    /// Cached tokens that the call would evict.
     pub evicted_tokens: TokenCount,
 }
 
-/// An owner's offer.
+/// An engine owner's offer to run a call.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub struct Bid {
-    /// The engine.
     pub engine: EngineName,
-    /// What the call would meet.
     pub estimate: Estimate,
-    /// Context tokens found in the cache.
+    /// Prompt tokens that the engine's cache is estimated to hold.
     pub cached_tokens: TokenCount,
 }
 
-/// Estimates what a call of `prompt_tokens`, of which `cached_tokens` are held, meets at an engine.
+/// Estimates a call of `prompt_tokens`, of which `cached_tokens` are cached, at an engine whose cache holds `held_tokens`.
 pub fn estimate(
     rates: &EngineRates,
     load: &EngineLoad,
@@ -65,17 +64,17 @@
     let decode_share = (load.running as f64 / load.max_running.max(1) as f64).min(1.0) * MAX_DECODE_SHARE;
     let prefill_rate = rates.prefill_tokens_per_second * (1.0 - decode_share);
     let prefill_tokens = load.pending_prefill_tokens + uncached_tokens;
-    let step = rates.step(load.running + 1);
-    let first_token_seconds = queue_seconds + prefill_tokens as f64 / prefill_rate + step;
-    let output = rates.output_tokens;
-    let needed = uncached_tokens + output as TokenCount;
-    let free = load.capacity_tokens.saturating_sub(held_tokens.max(load.context_tokens));
+    let step_seconds = rates.step_seconds(load.running + 1);
+    let first_token_seconds = queue_seconds + prefill_tokens as f64 / prefill_rate + step_seconds;
+    let output_tokens = rates.output_tokens;
+    let needed_tokens = uncached_tokens + output_tokens as TokenCount;
+    let free_tokens = load.capacity_tokens.saturating_sub(held_tokens.max(load.context_tokens));
     Estimate {
         queue_seconds,
         first_token_seconds,
-        finish_seconds: first_token_seconds + step * output,
+        finish_seconds: first_token_seconds + step_seconds * output_tokens,
         uncached_tokens,
-        evicted_tokens: needed.saturating_sub(free),
+        evicted_tokens: needed_tokens.saturating_sub(free_tokens),
     }
 }
 
@@ -84,9 +83,9 @@
     if !is_full && load.queued == 0 {
         return 0.0;
     }
-    let call_seconds = rates.step(load.running) * rates.output_tokens;
+    let call_seconds = rates.step_seconds(load.running) * rates.output_tokens;
     let departures_per_second = load.running.max(1) as f64 / call_seconds.max(f64::MIN_POSITIVE);
-    let by_slots = (load.queued + 1) as f64 / departures_per_second;
-    let by_prefill = load.queued_prefill_tokens as f64 / rates.prefill_tokens_per_second;
-    by_slots.max(by_prefill)
+    let slot_wait_seconds = (load.queued + 1) as f64 / departures_per_second;
+    let prefill_wait_seconds = load.queued_prefill_tokens as f64 / rates.prefill_tokens_per_second;
+    slot_wait_seconds.max(prefill_wait_seconds)
 }
--- a/crates/scheduling/src/health.rs
+++ b/crates/scheduling/src/health.rs
@@ -1,19 +1,19 @@
-//! Whether an engine is fit for calls, judged by how its calls end.
+//! Circuit breaker of an engine, driven by the outcomes of its calls.
 
 use std::time::Duration;
 
 use sumacdrift_types::Timestamp;
 
-/// Parameters of the circuit breaker.
+/// Thresholds and backoff of the circuit breaker.
 #[derive(Debug, Clone, Copy)]
 pub struct HealthSettings {
-    /// Failures in a row that open the circuit.
+    /// Consecutive failures after which the circuit opens.
     pub failures_to_open: u32,
-    /// First pause before a trial call.
+    /// Time for which the circuit stays open before the first trial call.
     pub first_pause: Duration,
-    /// Longest pause before a trial call; the pause doubles with each failed trial.
+    /// Upper bound on that time, which doubles with each failed trial call.
     pub max_pause: Duration,
-    /// After a recovery the number of calls allowed at a time grows to the full number over this time.
+    /// Time after a recovery over which the concurrency limit grows linearly to its full value.
     pub slow_start: Duration,
 }
 
@@ -28,91 +28,91 @@
     }
 }
 
-/// What the circuit breaker allows.
+/// State of the circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HealthState {
-    /// Calls go through.
+pub enum CircuitState {
+    /// Calls are admitted.
     Closed,
-    /// No calls until the time given.
+    /// No call is admitted before this time.
     Open(Timestamp),
-    /// One trial call is under way.
-    Trial,
+    /// One trial call is in flight.
+    HalfOpen,
 }
 
 /// Circuit breaker of one engine.
 #[derive(Debug, Clone)]
 pub struct Health {
     settings: HealthSettings,
-    state: HealthState,
-    failures: u32,
-    pause: Duration,
-    recovered: Option<Timestamp>,
+    state: CircuitState,
+    consecutive_failures: u32,
+    backoff: Duration,
+    recovered_at: Option<Timestamp>,
 }
 
 impl Health {
-    /// A healthy engine.
+    /// Starts closed, at the full concurrency limit.
     pub fn new(settings: HealthSettings) -> Self {
         Self {
             settings,
-            state: HealthState::Closed,
-            failures: 0,
-            pause: settings.first_pause,
-            recovered: None,
+            state: CircuitState::Closed,
+            consecutive_failures: 0,
+            backoff: settings.first_pause,
+            recovered_at: None,
         }
     }
 
-    /// The circuit breaker's state.
-    pub fn state(&self) -> HealthState {
+    /// The state after the last recorded event: an open circuit whose backoff has passed stays `Open` until a call is sent.
+    pub fn state(&self) -> CircuitState {
         self.state
     }
 
-    /// Calls that may run at a time, of the `full` number.
+    /// Number of calls that may be in flight, out of a limit of `full`.
     pub fn allowed(&self, full: usize, now: Timestamp) -> usize {
         match self.state {
-            HealthState::Open(until) if now < until => 0,
-            HealthState::Open(_) | HealthState::Trial => 1,
-            HealthState::Closed => self.slow_start_share(full, now),
+            CircuitState::Open(until) if now < until => 0,
+            CircuitState::Open(_) | CircuitState::HalfOpen => 1,
+            CircuitState::Closed => self.slow_start_limit(full, now),
         }
     }
 
-    /// Whether it is as if no call had ever failed: the circuit is closed and the slow start over.
+    /// Whether no effect of past failures is left: the circuit is closed, the last call succeeded and the slow start is over.
     pub fn is_settled(&self, now: Timestamp) -> bool {
-        let is_started = self.recovered.is_none_or(|since| now.since(since) >= self.settings.slow_start);
-        self.state == HealthState::Closed && self.failures == 0 && is_started
+        let is_started = self.recovered_at.is_none_or(|since| now.since(since) >= self.settings.slow_start);
+        self.state == CircuitState::Closed && self.consecutive_failures == 0 && is_started
     }
 
-    /// Notes that a call was sent.
+    /// Records that a call was sent; the first one after the backoff is the trial call.
     pub fn sent(&mut self, now: Timestamp) {
-        if matches!(self.state, HealthState::Open(until) if now >= until) {
-            self.state = HealthState::Trial;
+        if matches!(self.state, CircuitState::Open(until) if now >= until) {
+            self.state = CircuitState::HalfOpen;
         }
     }
 
-    /// Notes that a call ended well.
+    /// Records a successful call, which closes the circuit.
     pub fn succeeded(&mut self, now: Timestamp) {
-        if self.state != HealthState::Closed {
-            self.recovered = Some(now);
+        if self.state != CircuitState::Closed {
+            self.recovered_at = Some(now);
         }
-        self.state = HealthState::Closed;
-        self.failures = 0;
-        self.pause = self.settings.first_pause;
+        self.state = CircuitState::Closed;
+        self.consecutive_failures = 0;
+        self.backoff = self.settings.first_pause;
     }
 
-    /// Notes that a call failed through the engine's fault.
+    /// Records a call that failed through the engine's fault.
     pub fn failed(&mut self, now: Timestamp) {
-        self.failures += 1;
-        let was_trial = self.state == HealthState::Trial;
+        self.consecutive_failures += 1;
+        let was_trial = self.state == CircuitState::HalfOpen;
         if was_trial {
-            self.pause = (self.pause * 2).min(self.settings.max_pause);
+            self.backoff = (self.backoff * 2).min(self.settings.max_pause);
         }
-        if was_trial || self.failures >= self.settings.failures_to_open {
-            self.state = HealthState::Open(now + self.pause);
+        if was_trial || self.consecutive_failures >= self.settings.failures_to_open {
+            self.state = CircuitState::Open(now + self.backoff);
         }
     }
 
-    fn slow_start_share(&self, full: usize, now: Timestamp) -> usize {
-        let Some(recovered) = self.recovered else { return full };
-        let share = now.since(recovered).as_secs_f64() / self.settings.slow_start.as_secs_f64();
+    fn slow_start_limit(&self, full: usize, now: Timestamp) -> usize {
+        let Some(recovered_at) = self.recovered_at else { return full };
+        let share = now.since(recovered_at).as_secs_f64() / self.settings.slow_start.as_secs_f64();
         ((full as f64 * share.min(1.0)).ceil() as usize).max(1)
     }
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,13 +1,15 @@
-//! Which engine serves a call, and in which order an engine's calls are served.
+//! Placement of calls on engines, and the order in which they are admitted.
 //!
-//! Each engine has one owner in the fleet, which holds its [`EngineQueue`]. A node that has a call to place
-//! asks a few owners for a [`Bid`] and takes the cheapest by [`choose`]. Where engines have no owners, each node keeps a
-//! [`ServiceQueue`] before them, and what all nodes tell of their demand decides how much it lets in. All of it is plain state machines and
-//! functions of their arguments: the node, the simulator and the experiment tool run the very same code.
+//! Each engine is owned by one node, which holds its [`EngineQueue`]. A node that places a call asks a few owners for a
+//! [`Bid`] and takes the cheapest with [`choose`]. For engines without owners, each node keeps a [`ServiceQueue`] and admits
+//! its share of the capacity, computed from the demand that all nodes report.
+//!
+//! The crate consists of state machines and pure functions without clock or I/O, so that the node, the simulator and the
+//! experiment tool run the same code.
 
 mod cache_index;
+mod completion_rate;
 mod cost;
-mod end_rate;
 mod health;
 mod order;
 mod placement;
@@ -15,7 +17,7 @@
 mod queue;
 mod rates;
 mod retry_budget;
-mod return_times;
+mod retry_schedule;
 mod returning_programs;
 mod service_queue;
 mod shares;
@@ -24,16 +26,16 @@
 
 pub use cache_index::CacheIndex;
 pub use cost::{Bid, EngineLoad, Estimate, estimate};
-pub use health::{Health, HealthSettings, HealthState};
+pub use health::{CircuitState, Health, HealthSettings};
 pub use order::{OrderKey, OrderSettings, order_key};
 pub use placement::{Placement, PlacementWeights, choose, sample_candidates};
-pub use program_order::{HOPELESS_RANK, ProgramOrderKey, ProgramStage, QueuedCall, program_order};
+pub use program_order::{LATE_PROGRAM_RANK, ProgramOrderKey, ProgramStage, QueuedCall, program_order_key};
 pub use queue::{EngineQueue, FinishedWork, QueueEffect, QueueSettings, Release};
 pub use rates::{EngineRates, RateObservation};
 pub use retry_budget::RetryBudget;
-pub use return_times::ReturnTimes;
+pub use retry_schedule::RetrySchedule;
 pub use returning_programs::ReturningPrograms;
 pub use service_queue::{QueueTicket, RefusalReason, ServiceQueue, ServiceQueueAction, ServiceQueueSettings};
-pub use shares::{RankDemand, RankShare, ServiceRoom, shares};
-pub use waiting_list::{ListFull, Waiting, WaitingList};
+pub use shares::{RankDemand, RankShare, ServiceRoom, allocate_shares};
+pub use waiting_list::{WaitingCall, WaitingList, WaitingListFull};
 pub use work::{ContextPrefix, PriorityRank, Work, context_prefixes};
--- a/crates/scheduling/src/order.rs
+++ b/crates/scheduling/src/order.rs
@@ -1,4 +1,4 @@
-//! The order in which an engine's waiting calls are served.
+//! Service order of the calls queued at one engine.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use crate::{PriorityRank, Work};
 
-/// Parameters of the order.
+/// Thresholds of the service order.
 #[derive(Debug, Clone, Copy)]
 pub struct OrderSettings {
-    /// Attained service below which all programs are equal; each further level is twice as long.
+    /// Attained tokens below which a program is on the first level; each further level is twice as large.
     pub first_level_tokens: TokenCount,
-    /// A call that waited this long goes before all others: the starvation bound.
+    /// Waiting time after which a call precedes all others.
     pub starvation_bound: Duration,
-    /// A call whose deadline is nearer than this goes before others of its class.
+    /// Time to the deadline below which a call precedes the others of its rank.
     pub urgent_slack: Duration,
 }
 
@@ -27,30 +27,30 @@
     }
 }
 
-/// Position in the queue; smaller is served first.
+/// Sort key of a queued call; the smallest is served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey {
     is_not_starving: bool,
     rank: PriorityRank,
     is_not_urgent: bool,
     level: u32,
-    enqueued: Timestamp,
+    enqueued_at: Timestamp,
 }
 
-/// Works out a call's position.
+/// Computes the sort key of a call.
 ///
-/// Within a class, programs that received little service go first. The lengths of programs are not known in
-/// advance and vary widely, and for such lengths least attained service comes close to serving the shortest
-/// first. Levels double in length, so that long programs of similar age do not take turns and stretch each
-/// other. A call that waited past the bound goes first whatever its class.
-pub fn order_key(settings: &OrderSettings, work: &Work, enqueued: Timestamp, now: Timestamp) -> OrderKey {
+/// Within a rank, programs with the least attained service go first. Program lengths are unknown in advance and
+/// vary widely; for such lengths this approximates shortest job first. Levels double in size, so that long
+/// programs of similar age don't alternate and delay each other. A call that waited past the starvation bound
+/// goes first whatever its rank.
+pub fn order_key(settings: &OrderSettings, work: &Work, enqueued_at: Timestamp, now: Timestamp) -> OrderKey {
     let level = (work.attained_tokens / settings.first_level_tokens.max(1)).checked_ilog2();
     let is_urgent = work.deadline.is_some_and(|deadline| deadline < now + settings.urgent_slack);
     OrderKey {
-        is_not_starving: now.since(enqueued) < settings.starvation_bound,
+        is_not_starving: now.since(enqueued_at) < settings.starvation_bound,
         rank: work.rank,
         is_not_urgent: !is_urgent,
         level: level.map_or(0, |level| level + 1),
-        enqueued,
+        enqueued_at,
     }
 }
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,15 +1,15 @@
-//! Choice among bids.
+//! Placement of a call: which engines to ask for bids, and which bid to take.
 
 use sumacdrift_types::EngineName;
 
 use crate::Bid;
 
-/// What a configuration weighs; the two teams set these differently.
+/// Weights of the bid cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementWeights {
-    /// Cost of a second until the call ends.
+    /// Cost of each second until the call ends.
     pub latency: f64,
-    /// Cost of a second that the engine spends on computing context again or will spend on evicted context.
+    /// Cost of each second of prefill for uncached context, or for context that the call evicts.
     pub cache: f64,
 }
 
@@ -19,16 +19,16 @@
     }
 }
 
-/// The bid that was taken, with its reason.
+/// The bid that was chosen.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub struct Placement {
-    /// The bid.
     pub bid: Bid,
-    /// Why, in words for an operator.
+    /// Cost breakdown of the choice, for operators.
     pub reason: String,
 }
 
-/// Takes the bid of least cost. `prefill_tokens_per_second` turns tokens into seconds.
+/// Chooses the cheapest bid; `None` without bids. `prefill_tokens_per_second` converts tokens to seconds.
 pub fn choose(bids: &[Bid], weights: &PlacementWeights, prefill_tokens_per_second: f64) -> Option<Placement> {
     let cost = |bid: &Bid| bid_cost(bid, weights, prefill_tokens_per_second);
     let best = bids.iter().min_by(|left, right| cost(left).total_cmp(&cost(right)))?;
@@ -54,10 +54,10 @@
     )
 }
 
-/// Picks the engines to ask: those where context may be, then a few at random.
+/// Selects the engines to ask for bids: the preferred ones, then up to `random_count` others at random.
 ///
-/// Asking all would cost messages in proportion to the pool; asking two at random already avoids the worst
-/// queues (Mitzenmacher, 2001).
+/// `pick` returns a random index below its argument. Asking every engine would cost messages in proportion to the
+/// pool; two random choices already avoid the longest queues (Mitzenmacher, 2001).
 pub fn sample_candidates(
     engines: &[EngineName],
     preferred: &[EngineName],
@@ -70,14 +70,14 @@
             candidates.push(engine.clone());
         }
     }
-    let wanted = (candidates.len() + random_count).min(engines.len());
-    let mut tries = 0;
-    while candidates.len() < wanted && tries < engines.len() * 4 {
+    let target_count = (candidates.len() + random_count).min(engines.len());
+    let mut attempts = 0;
+    while candidates.len() < target_count && attempts < engines.len() * 4 {
         let engine = &engines[pick(engines.len())];
         if !candidates.contains(engine) {
             candidates.push(engine.clone());
         }
-        tries += 1;
+        attempts += 1;
     }
     candidates
 }
--- a/crates/scheduling/src/program_order.rs
+++ b/crates/scheduling/src/program_order.rs
@@ -1,7 +1,7 @@
-//! The order in which calls of programs wait for a service's room.
+//! Admission order of the calls that wait for a service's capacity.
 //!
-//! Only whole programs that end in time are worth anything to their callers. So programs under way go before new ones,
-//! those with the least time left first, and those that can't be in time any more behind all that can.
+//! A program is only useful to its caller if it ends in time as a whole. Programs in progress therefore precede new ones,
+//! those with the earliest deadline first, and programs that can no longer meet theirs come last.
 
 use std::time::Duration;
 
@@ -9,89 +9,94 @@
 
 use crate::PriorityRank;
 
-/// How far a call's program has come.
+/// Progress of a call's program; earlier variants are admitted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProgramStage {
-    /// Earlier calls of it were answered.
+    /// Earlier calls were answered.
     UnderWay,
-    /// Its first call was refused and comes back when it was told to.
+    /// The first call was rejected and is retried at the time that the caller was told.
     Returning,
-    /// It has not begun.
+    /// No call was answered or rejected yet.
     New,
 }
 
-/// Rank of calls whose programs can't be in time any more: behind all others.
-pub const HOPELESS_RANK: PriorityRank = PriorityRank::MAX;
+/// Rank of calls whose programs can no longer end in time: behind all others.
+pub const LATE_PROGRAM_RANK: PriorityRank = PriorityRank::MAX;
 
-/// Share of the usual time of a call below which what is left is not enough for any call of its kind.
-const LEAST_SHARE_OF_USUAL: f64 = 0.7;
+/// Shortest expected duration of a call, as a fraction of the usual one.
+const MIN_FRACTION_OF_USUAL_TIME: f64 = 0.7;
 
-/// A call that wants to use a service.
+/// A call that waits for a service's capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
+#[allow(missing_docs)]
 pub struct QueuedCall {
-    /// Rank of its tenant and route.
+    /// Rank of the tenant and route.
     pub rank: PriorityRank,
-    /// How far its program has come.
     pub stage: ProgramStage,
-    /// When its program should be over, where it says so.
+    /// Deadline of the whole program; `None` if the caller gives none.
     pub program_end: Option<Timestamp>,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting for the call.
     pub deadline: Timestamp,
-    /// How long calls of its kind usually take at an engine.
+    /// Usual duration of such calls at an engine.
     pub usual_time: Duration,
-    /// Bytes that are held for it.
+    /// Memory that the call holds while it waits.
     pub bytes: usize,
 }
 
 impl QueuedCall {
-    /// Time that the call needs at the least.
-    pub fn least_time(&self) -> Duration {
-        self.usual_time.mul_f64(LEAST_SHARE_OF_USUAL)
+    /// Shortest time that the call is expected to take at an engine.
+    pub fn min_time(&self) -> Duration {
+        self.usual_time.mul_f64(MIN_FRACTION_OF_USUAL_TIME)
     }
 
-    /// Whether its caller still waits when it could have been answered, if it is let in at `at`.
-    pub fn can_be_answered(&self, at: Timestamp) -> bool {
-        at + self.least_time() < self.deadline
+    /// Whether the call can be answered before its deadline if it is admitted at `admitted_at`.
+    pub fn can_meet_deadline(&self, admitted_at: Timestamp) -> bool {
+        admitted_at + self.min_time() < self.deadline
     }
 
-    /// Whether its program can't be in time any more, if the call is let in at `at`.
-    pub fn is_hopeless(&self, at: Timestamp) -> bool {
-        self.program_end.is_some_and(|end| at + self.least_time() >= end)
+    /// Whether the program misses its deadline if the call is admitted at `admitted_at`.
+    pub fn is_program_late(&self, admitted_at: Timestamp) -> bool {
+        self.program_end.is_some_and(|end| admitted_at + self.min_time() >= end)
     }
 
-    /// Its rank by now.
-    pub fn rank_now(&self, now: Timestamp) -> PriorityRank {
-        if self.is_hopeless(now) { HOPELESS_RANK } else { self.rank }
+    /// Rank at a time: [`LATE_PROGRAM_RANK`] once the program can no longer end in time.
+    pub fn effective_rank(&self, now: Timestamp) -> PriorityRank {
+        if self.is_program_late(now) { LATE_PROGRAM_RANK } else { self.rank }
     }
 }
 
-/// Position among waiting calls; smaller is let in first.
+/// Sort key of a waiting call; the smallest is admitted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProgramOrderKey {
     is_not_starving: bool,
     rank: PriorityRank,
     stage: ProgramStage,
-    end: Timestamp,
-    since: Timestamp,
+    deadline: Timestamp,
+    enqueued_at: Timestamp,
 }
 
-/// Whether a call has waited for too long, and its program can be in time.
-pub fn is_starving(call: &QueuedCall, since: Timestamp, now: Timestamp, starvation_bound: Duration) -> bool {
-    now.since(since) >= starvation_bound && !call.is_hopeless(now)
+/// Whether a call has waited past the starvation bound while its program can still end in time.
+pub fn is_starving(
+    call: &QueuedCall,
+    enqueued_at: Timestamp,
+    now: Timestamp,
+    starvation_bound: Duration,
+) -> bool {
+    now.since(enqueued_at) >= starvation_bound && !call.is_program_late(now)
 }
 
-/// Works out a call's position. A call that starves goes first whatever its rank.
-pub fn program_order(
+/// Computes the sort key of a call. A starving call goes first whatever its rank.
+pub fn program_order_key(
     call: &QueuedCall,
-    since: Timestamp,
+    enqueued_at: Timestamp,
     now: Timestamp,
     starvation_bound: Duration,
 ) -> ProgramOrderKey {
     ProgramOrderKey {
-        is_not_starving: !is_starving(call, since, now, starvation_bound),
-        rank: call.rank_now(now),
+        is_not_starving: !is_starving(call, enqueued_at, now, starvation_bound),
+        rank: call.effective_rank(now),
         stage: call.stage,
-        end: call.program_end.unwrap_or(call.deadline),
-        since,
+        deadline: call.program_end.unwrap_or(call.deadline),
+        enqueued_at,
     }
 }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one engine, held by the engine's owner.
+//! Admission queue of one engine, held by the node that owns the engine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,22 +11,21 @@
     RateObservation, WaitingList, Work, estimate, order_key,
 };
 
-/// Parameters of a queue.
+/// Limits and initial values of an engine's queue.
 #[derive(Debug, Clone, Copy)]
+#[allow(missing_docs)]
 pub struct QueueSettings {
-    /// Calls that the engine runs at a time.
+    /// Maximum concurrent calls at the engine.
     pub max_running: usize,
-    /// Calls that may wait.
+    /// Maximum waiting calls.
     pub max_queued: usize,
-    /// Tokens of context that the engine's memory holds.
+    /// Tokens of context that fit in the engine's memory.
     pub capacity_tokens: TokenCount,
-    /// A granted call that is not released for this long is taken for lost.
+    /// Time after which a granted call that was not released is considered lost.
     pub grant_lease: Duration,
-    /// Order of waiting calls.
     pub order: OrderSettings,
-    /// Circuit breaker.
     pub health: HealthSettings,
-    /// Speeds before anything is learned.
+    /// Rates assumed until calls were observed.
     pub rates: EngineRates,
 }
 
@@ -44,55 +43,48 @@
     }
 }
 
-/// What a queue wants done.
+/// An action that the queue's holder has to carry out.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub enum QueueEffect {
-    /// The call may be sent to the engine now.
-    Grant {
-        /// The call.
-        call: CallId,
-    },
-    /// The call is refused; it was not sent.
-    Refuse {
-        /// The call.
-        call: CallId,
-        /// Why.
-        problem: Problem,
-    },
+    /// The call may be sent to the engine.
+    Grant { call: CallId },
+    /// The call is rejected without having been sent.
+    Refuse { call: CallId, problem: Problem },
 }
 
-/// How a granted call ended.
+/// Outcome of a granted call.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub struct Release {
-    /// The call.
     pub call: CallId,
-    /// What an answer showed; `None` where there was no whole answer.
+    /// `None` if there was no complete answer.
     pub finished: Option<FinishedWork>,
-    /// Whether the call failed through the engine's fault.
+    /// Whether the failure counts against the engine's health.
     pub is_engine_fault: bool,
 }
 
-/// What a whole answer showed.
+/// Measurements of a complete answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FinishedWork {
-    /// Tokens as the engine reported them.
+    /// Token counts reported by the engine.
     pub usage: Usage,
-    /// From sending to the first token.
+    /// Time from sending the request to the first token.
     pub first_token: Duration,
-    /// From the first to the last token.
+    /// Time from the first to the last token.
     pub decoding: Duration,
-    /// The history's end with the answer, which the cache now holds.
+    /// Boundary after the answer, up to which the cache now holds the history; `None` if unknown.
     pub end: Option<ContextPrefix>,
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningCall {
     work: Work,
-    granted: Timestamp,
+    granted_at: Timestamp,
     uncached_tokens: TokenCount,
 }
 
-/// Queue, load and cache belief of one engine.
+/// Queue, load, health and estimated cache content of one engine.
 #[derive(Debug)]
 pub struct EngineQueue {
     engine: EngineName,
@@ -101,12 +93,12 @@
     health: Health,
     cache: CacheIndex,
     queued: WaitingList<CallId, Work>,
-    running: BTreeMap<CallId, Running>,
-    is_leaving: bool,
+    running: BTreeMap<CallId, RunningCall>,
+    is_draining: bool,
 }
 
 impl EngineQueue {
-    /// An empty queue.
+    /// Starts empty, with a closed circuit breaker and the initial rates of the settings.
     pub fn new(engine: EngineName, settings: QueueSettings) -> Self {
         Self {
             engine,
@@ -116,81 +108,84 @@
             cache: CacheIndex::new(settings.capacity_tokens),
             queued: WaitingList::new(settings.max_queued),
             running: BTreeMap::new(),
-            is_leaving: false,
+            is_draining: false,
         }
     }
 
-    /// What the engine has to do.
+    /// Current load, the input of the cost estimate.
     pub fn load(&self) -> EngineLoad {
         let sum = |values: &mut dyn Iterator<Item = TokenCount>| values.sum();
         EngineLoad {
             running: self.running.len(),
             max_running: self.settings.max_running,
-            pending_prefill_tokens: sum(&mut self.running.values().map(|one| one.uncached_tokens)),
+            pending_prefill_tokens: sum(&mut self.running.values().map(|call| call.uncached_tokens)),
             queued: self.queued.len(),
-            queued_prefill_tokens: sum(&mut self.queued.iter().map(|(_, one)| self.uncached(&one.call))),
-            context_tokens: sum(&mut self.running.values().map(|one| one.work.prompt_tokens())),
+            queued_prefill_tokens: sum(&mut self
+                .queued
+                .iter()
+                .map(|(_, waiting)| self.uncached_tokens(&waiting.call))),
+            context_tokens: sum(&mut self.running.values().map(|call| call.work.prompt_tokens())),
             capacity_tokens: self.settings.capacity_tokens,
         }
     }
 
-    /// The speeds learned so far.
+    /// Rates learned so far.
     pub fn rates(&self) -> &EngineRates {
         &self.rates
     }
 
-    /// Whether the engine may get new calls.
+    /// Whether new calls are accepted: the engine isn't draining and its circuit breaker admits calls.
     pub fn is_usable(&self, now: Timestamp) -> bool {
-        (!self.is_leaving || is_broken(Rule::LeavingEngineRefuses))
+        (!self.is_draining || is_broken(Rule::LeavingEngineRefuses))
             && self.health.allowed(self.settings.max_running, now) > 0
     }
 
-    /// Marks the engine as leaving: from now on nothing new is sent to it.
-    pub fn set_leaving(&mut self, is_leaving: bool) -> Vec<QueueEffect> {
-        self.is_leaving = is_leaving;
-        if !is_leaving {
+    /// Starts or ends draining. A draining engine gets no new calls, and the waiting ones are rejected.
+    pub fn set_leaving(&mut self, is_draining: bool) -> Vec<QueueEffect> {
+        self.is_draining = is_draining;
+        if !is_draining {
             return Vec::new();
         }
-        let calls = self.queued.take_all().into_iter();
-        calls.map(|call| QueueEffect::Refuse { call, problem: self.unusable() }).collect()
+        let calls = self.queued.drain_ids().into_iter();
+        calls.map(|call| QueueEffect::Refuse { call, problem: self.not_accepting_problem() }).collect()
     }
 
-    /// Adopts other limits.
+    /// Applies new limits. Circuit breaker, learned rates and cache index stay as they are.
     pub fn reconfigure(&mut self, settings: QueueSettings) {
         self.settings = settings;
-        self.queued.set_most(settings.max_queued);
+        self.queued.set_capacity(settings.max_queued);
     }
 
-    /// An offer for a call, if the engine may get one.
+    /// Bids for a call; `None` if the engine accepts none or the queue is full.
     pub fn bid(&self, prefixes: &[ContextPrefix], now: Timestamp) -> Option<Bid> {
         if !self.is_usable(now) || self.queued.is_full() {
             return None;
         }
         let prompt_tokens = prefixes.last().map_or(0, |prefix| prefix.tokens);
         let cached_tokens = self.cache.cached_tokens(prefixes);
-        let held = self.cache.held_tokens();
-        let estimate = estimate(&self.rates, &self.load(), prompt_tokens, cached_tokens, held);
+        let held_tokens = self.cache.held_tokens();
+        let estimate = estimate(&self.rates, &self.load(), prompt_tokens, cached_tokens, held_tokens);
         Some(Bid { engine: self.engine.clone(), estimate, cached_tokens })
     }
 
-    /// Adds a call.
+    /// Queues a call; rejects it if the engine accepts none or the queue is full.
     pub fn enqueue(&mut self, work: Work, now: Timestamp) -> Vec<QueueEffect> {
         let call = work.call;
         if !self.is_usable(now) {
-            return vec![QueueEffect::Refuse { call, problem: self.unusable() }];
+            return vec![QueueEffect::Refuse { call, problem: self.not_accepting_problem() }];
         }
         if self.queued.push(call, work, now).is_err() {
-            return vec![QueueEffect::Refuse { call, problem: self.overloaded() }];
+            return vec![QueueEffect::Refuse { call, problem: self.queue_full_problem() }];
         }
-        self.grant(now)
+        self.grant_next_calls(now)
     }
 
-    /// Drops a call that waits; one that was granted must be released instead.
+    /// Removes a waiting call; one that was granted must be released instead.
     pub fn forget(&mut self, call: CallId) {
         self.queued.remove(call);
     }
 
-    /// Ends a granted call.
+    /// Frees the slot of a granted call and learns from its outcome; ignores calls that hold none.
     pub fn release(&mut self, release: Release, now: Timestamp) -> Vec<QueueEffect> {
         let Some(running) = self.running.remove(&release.call) else { return Vec::new() };
         if release.is_engine_fault {
@@ -198,68 +193,68 @@
         }
         if let Some(finished) = release.finished {
             self.health.succeeded(now);
-            self.learn(&running, finished, now);
+            self.record_finished(&running, finished, now);
         }
-        self.grant(now)
+        self.grant_next_calls(now)
     }
 
-    /// Drops what is believed of an ended program's context.
+    /// Removes an ended program's own context from the cache index.
     pub fn forget_program(&mut self, program: &ProgramId) {
         self.cache.forget_program(program);
     }
 
-    /// Refuses calls past their deadline, and takes lost grants back.
+    /// Rejects waiting calls past their deadline, reclaims expired grants and grants calls for free slots.
     pub fn tick(&mut self, now: Timestamp) -> Vec<QueueEffect> {
-        let lease = self.settings.grant_lease;
-        self.running.retain(|_, running| now.since(running.granted) < lease);
-        let late =
-            self.queued.ids_where(|queued| queued.call.deadline.is_some_and(|deadline| deadline <= now));
+        let grant_lease = self.settings.grant_lease;
+        self.running.retain(|_, running| now.since(running.granted_at) < grant_lease);
+        let expired =
+            self.queued.matching_ids(|queued| queued.call.deadline.is_some_and(|deadline| deadline <= now));
         let mut effects = Vec::new();
-        for call in late {
+        for call in expired {
             self.queued.remove(call);
-            let detail = "the deadline passed while the call waited for an engine";
+            let detail = "deadline passed while the call was queued for an engine";
             let problem = Problem::not_run(ResultCode::DeadlineExceeded, detail);
             effects.push(QueueEffect::Refuse { call, problem });
         }
-        effects.extend(self.grant(now));
+        effects.extend(self.grant_next_calls(now));
         effects
     }
 
-    fn grant(&mut self, now: Timestamp) -> Vec<QueueEffect> {
+    fn grant_next_calls(&mut self, now: Timestamp) -> Vec<QueueEffect> {
         let mut effects = Vec::new();
-        while self.has_room(now) {
+        while self.has_free_slot(now) {
             let Some(call) = self.next_call(now) else { break };
             let Some(queued) = self.queued.remove(call) else { break };
-            let uncached_tokens = self.uncached(&queued.call);
+            let uncached_tokens = self.uncached_tokens(&queued.call);
             self.health.sent(now);
-            self.running.insert(call, Running { work: queued.call, granted: now, uncached_tokens });
+            self.running.insert(call, RunningCall { work: queued.call, granted_at: now, uncached_tokens });
             effects.push(QueueEffect::Grant { call });
         }
         effects
     }
 
-    fn has_room(&self, now: Timestamp) -> bool {
+    fn has_free_slot(&self, now: Timestamp) -> bool {
         let allowed = self.health.allowed(self.settings.max_running, now);
-        (!self.is_leaving || is_broken(Rule::LeavingEngineRefuses)) && self.running.len() < allowed
+        (!self.is_draining || is_broken(Rule::LeavingEngineRefuses)) && self.running.len() < allowed
     }
 
-    /// The first call in order whose context fits beside the running ones.
+    /// The first call in order, if its context fits beside the running ones. An idle engine gets it whatever its size.
     fn next_call(&self, now: Timestamp) -> Option<CallId> {
         let order = &self.settings.order;
         let (call, queued) =
-            self.queued.first_by(|queued| order_key(order, &queued.call, queued.since, now))?;
-        let context: TokenCount = self.running.values().map(|one| one.work.prompt_tokens()).sum();
-        let needed = queued.call.prompt_tokens() + self.rates.output_tokens as TokenCount;
-        let fits = context + needed <= self.settings.capacity_tokens;
+            self.queued.first_by_key(|queued| order_key(order, &queued.call, queued.enqueued_at, now))?;
+        let context_tokens: TokenCount = self.running.values().map(|call| call.work.prompt_tokens()).sum();
+        let needed_tokens = queued.call.prompt_tokens() + self.rates.output_tokens as TokenCount;
+        let fits = context_tokens + needed_tokens <= self.settings.capacity_tokens;
         (fits || self.running.is_empty()).then_some(call)
     }
 
-    fn learn(&mut self, running: &Running, finished: FinishedWork, now: Timestamp) {
+    fn record_finished(&mut self, running: &RunningCall, finished: FinishedWork, now: Timestamp) {
         let usage = finished.usage;
         self.rates.observe(&RateObservation {
             uncached_tokens: usage.prompt_tokens.saturating_sub(usage.cached_tokens),
-            first_token: finished.first_token,
-            decoding: finished.decoding,
+            time_to_first_token: finished.first_token,
+            decode_time: finished.decoding,
             output_tokens: usage.output_tokens,
             running: self.running.len() + 1,
         });
@@ -269,19 +264,19 @@
         self.cache.insert(&prefixes, &running.work.program, now);
     }
 
-    fn uncached(&self, work: &Work) -> TokenCount {
+    fn uncached_tokens(&self, work: &Work) -> TokenCount {
         work.prompt_tokens().saturating_sub(self.cache.cached_tokens(&work.prefixes))
     }
 
-    fn unusable(&self) -> Problem {
-        let detail = format!("engine {} takes no new calls", self.engine);
+    fn not_accepting_problem(&self) -> Problem {
+        let detail = format!("engine {} is not accepting new calls", self.engine);
         Problem::not_run(ResultCode::NoEngine, detail).with_retry_after(Duration::from_secs(1))
     }
 
-    fn overloaded(&self) -> Problem {
-        let call_seconds = self.rates.step(self.running.len()) * self.rates.output_tokens;
+    fn queue_full_problem(&self) -> Problem {
+        let call_seconds = self.rates.step_seconds(self.running.len()) * self.rates.output_tokens;
         let retry_after = Duration::from_secs_f64(call_seconds.clamp(1.0, 60.0));
-        let detail = format!("engine {} has {} calls waiting", self.engine, self.queued.len());
+        let detail = format!("queue of engine {} is full ({} calls waiting)", self.engine, self.queued.len());
         Problem::not_run(ResultCode::Overloaded, detail).with_retry_after(retry_after)
     }
 }
--- a/crates/scheduling/src/returning_programs.rs
+++ b/crates/scheduling/src/returning_programs.rs
@@ -1,50 +1,50 @@
-//! Programs whose first call was refused and is expected back.
+//! Programs whose first call was rejected and that are expected to retry.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use sumacdrift_types::Timestamp;
 
-/// Programs that are remembered; beyond it the one expected last is forgotten.
-const MOST_PROGRAMS: usize = 512;
-/// How long after the time it was told a program is still expected.
-const LATE_BY: Duration = Duration::from_secs(1);
-/// How much earlier than it was told a program may come: callers wait for a part of their time at the most.
-const EARLY_BY: Duration = Duration::from_millis(1000);
-/// The least that a program must have waited: one that asks again at once doesn't go before others.
-const LEAST_WAIT: Duration = Duration::from_millis(40);
+/// Maximum number of tracked programs; beyond it, the one expected last is dropped.
+const MAX_PROGRAMS: usize = 512;
+/// How long after its retry time a program is still expected.
+const LATE_TOLERANCE: Duration = Duration::from_secs(1);
+/// How long before its retry time a program may return: callers may cap the delay at a part of their remaining time.
+const EARLY_TOLERANCE: Duration = Duration::from_millis(1000);
+/// Minimum delay after the rejection: an immediate retry gains no precedence.
+const MIN_DELAY: Duration = Duration::from_millis(40);
 
-/// When a program is expected.
 #[derive(Debug, Clone, Copy)]
-struct Expected {
-    told_at: Timestamp,
-    at: Timestamp,
+struct ExpectedRetry {
+    rejected_at: Timestamp,
+    retry_at: Timestamp,
 }
 
-/// Programs that were told to come back, by a hash of their names.
+/// Programs that were given a retry time, by a hash of their names.
 #[derive(Debug, Default)]
 pub struct ReturningPrograms {
-    expected: HashMap<u64, Expected>,
+    expected: HashMap<u64, ExpectedRetry>,
 }
 
 impl ReturningPrograms {
-    /// A program was told to come back after this time.
+    /// Records that a program was rejected and told to retry after this delay.
     pub fn told(&mut self, program: u64, retry_after: Duration, now: Timestamp) {
-        self.expected.retain(|_, expected| expected.at + LATE_BY > now);
-        if self.expected.len() >= MOST_PROGRAMS
-            && let Some((last, _)) = self.expected.iter().max_by_key(|(_, expected)| expected.at)
+        self.expected.retain(|_, expected| expected.retry_at + LATE_TOLERANCE > now);
+        if self.expected.len() >= MAX_PROGRAMS
+            && let Some((last, _)) = self.expected.iter().max_by_key(|(_, expected)| expected.retry_at)
         {
             let last = *last;
             self.expected.remove(&last);
         }
-        self.expected.insert(program, Expected { told_at: now, at: now + retry_after });
+        self.expected.insert(program, ExpectedRetry { rejected_at: now, retry_at: now + retry_after });
     }
 
-    /// Whether a program comes back as it was told to.
+    /// Whether a call that arrives now is the retry that the program was told to make.
     pub fn is_returning(&self, program: u64, now: Timestamp) -> bool {
         self.expected.get(&program).is_some_and(|expected| {
-            let has_waited = now >= expected.told_at + LEAST_WAIT && now + EARLY_BY >= expected.at;
-            has_waited && now < expected.at + LATE_BY
+            let has_waited =
+                now >= expected.rejected_at + MIN_DELAY && now + EARLY_TOLERANCE >= expected.retry_at;
+            has_waited && now < expected.retry_at + LATE_TOLERANCE
         })
     }
 }
--- a/crates/scheduling/src/service_queue.rs
+++ b/crates/scheduling/src/service_queue.rs
@@ -1,10 +1,10 @@
-//! The queue of one node before the engines of one service.
+//! Admission queue of one node for the engines of one service.
 //!
-//! Needed when load is larger than the room: engines admit in the order of arrival, so what is sent to full engines can't
-//! be put in order any more. The node keeps back what is beyond its [`shares`] of the room, lets it in by
-//! [`program_order`], and refuses at once what can't be served, with the time at which room is expected.
+//! Engines admit calls in order of arrival, so calls sent to full engines can no longer be ordered. The node holds back what
+//! exceeds its shares of the capacity ([`allocate_shares`]), admits it by [`program_order_key`], and rejects calls that can't
+//! be served as soon as that is known, with a retry time.
 //!
-//! A state machine: it takes what happened and answers with what to do. It reads no clock and knows no engines.
+//! A state machine: events return the actions to carry out. It reads no clock and knows no engines.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,47 +13,47 @@
 use sumacdrift_types::Timestamp;
 
 use crate::PriorityRank;
-use crate::end_rate::EndRate;
-use crate::program_order::{ProgramStage, QueuedCall, is_starving, program_order};
-use crate::return_times::ReturnTimes;
-use crate::shares::{RankDemand, RankShare, ServiceRoom, shares};
-use crate::waiting_list::{Waiting, WaitingList};
+use crate::completion_rate::CompletionRate;
+use crate::program_order::{ProgramStage, QueuedCall, is_starving, program_order_key};
+use crate::retry_schedule::RetrySchedule;
+use crate::shares::{RankDemand, RankShare, ServiceRoom, allocate_shares};
+use crate::waiting_list::{WaitingCall, WaitingList};
 
-/// Weight of a new observation of how long calls take at engines.
+/// Weight of a new sample in the average call duration.
 const LEARNING_RATE: f64 = 0.1;
-/// Expected waits are cut off here; no caller waits for so long.
-const LONGEST_EXPECTED_WAIT: Duration = Duration::from_secs(3600);
-/// A share is rounded to the nearest whole call where the node doesn't tell its number.
-const ROUNDING: f64 = 0.5;
-/// The fractional part of the golden ratio: its multiples fill an interval evenly.
+/// Upper bound on expected waits, longer than any caller waits.
+const MAX_EXPECTED_WAIT: Duration = Duration::from_secs(3600);
+/// Rounds a share to the nearest whole call, where the node has no number of its own.
+const DEFAULT_ROUNDING_OFFSET: f64 = 0.5;
+/// Fractional part of the golden ratio: its multiples modulo 1 are evenly distributed.
 const GOLDEN_STEP: f64 = 0.618_033_988_749_895;
 
-/// A call at this node, while it waits or is under way.
+/// Identifies a call at this node while it waits or is in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueTicket(pub u64);
 
-/// Bounds of a queue.
+/// Limits of a node's queue.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceQueueSettings {
-    /// Calls that may wait.
-    pub most_waiting: usize,
-    /// Bytes that waiting calls may hold together.
-    pub most_bytes: usize,
-    /// A call that waited for so long goes before all others.
+    /// Maximum waiting calls.
+    pub max_waiting: usize,
+    /// Maximum bytes that waiting calls hold in total.
+    pub max_waiting_bytes: usize,
+    /// Waiting time after which a call precedes all others.
     pub starvation_bound: Duration,
-    /// Share of the program's time that its first call may wait, also when it comes back after a refusal. Programs make about
-    /// ten calls and may wait before each, so one that spends more on the first ends late.
+    /// Fraction of the program's time that its first call may wait, also when it is retried. Programs make about ten calls and
+    /// may wait before each, so one that waits longer for the first ends late.
     pub first_wait_share: f64,
-    /// A number of its own for each node, by which nodes round their shares at different points: shares of less than half a
-    /// call at every node would otherwise leave engines idle.
+    /// Number unique to the node, from which nodes derive different rounding offsets for their shares. Otherwise shares of
+    /// less than half a call at every node would leave engines idle.
     pub node_number: Option<u64>,
 }
 
 impl Default for ServiceQueueSettings {
     fn default() -> Self {
         Self {
-            most_waiting: 256,
-            most_bytes: 8 << 20,
+            max_waiting: 256,
+            max_waiting_bytes: 8 << 20,
             starvation_bound: Duration::from_millis(1500),
             first_wait_share: 0.1,
             node_number: None,
@@ -61,19 +61,19 @@
     }
 }
 
-/// Why a call is refused.
+/// Why a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Its caller will have left before it could be answered.
+    /// It can't be answered before the caller stops waiting.
     CannotBeAnswered,
-    /// Its program would begin too late to end in time.
+    /// Its program would start too late to end in time.
     ProgramTooLate,
-    /// No more calls, or bytes, may wait.
+    /// The limit on waiting calls or their bytes is reached.
     QueueFull,
 }
 
 impl RefusalReason {
-    /// A word for logs and metrics.
+    /// Value in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::CannotBeAnswered => "cannot_be_answered",
@@ -83,110 +83,102 @@
     }
 }
 
-/// What a queue wants done.
+/// An action that the queue's holder has to carry out.
 #[derive(Debug, Clone, Copy, PartialEq)]
+#[allow(missing_docs)]
 pub enum ServiceQueueAction {
-    /// The call may go to an engine now.
-    LetIn {
-        /// The call.
-        ticket: QueueTicket,
-        /// How long it waited.
-        waited: Duration,
-    },
-    /// The call is refused; it has not run.
+    /// The call is admitted and may be sent to an engine.
+    LetIn { ticket: QueueTicket, waited: Duration },
+    /// The call is rejected; it has not run.
     Refuse {
-        /// The call.
         ticket: QueueTicket,
-        /// Why.
         reason: RefusalReason,
-        /// How long it waited.
         waited: Duration,
-        /// How much longer it would have waited, as far as is known.
+        /// Estimated further wait; zero where no estimate exists.
         expected_wait: Duration,
-        /// When room is expected for it.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// A call under way at an engine.
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningCall {
     rank: PriorityRank,
-    since: Timestamp,
+    started_at: Timestamp,
 }
 
-/// The queue of one node before the engines of one service.
+/// Admission queue of one node for the engines of one service.
 #[derive(Debug)]
 pub struct ServiceQueue {
     settings: ServiceQueueSettings,
     waiting: WaitingList<QueueTicket, QueuedCall>,
     bytes: usize,
-    running: BTreeMap<QueueTicket, Running>,
-    room: Option<ServiceRoom>,
-    others: Vec<RankDemand>,
-    /// Seconds that calls take at engines, where some ended.
+    running: BTreeMap<QueueTicket, RunningCall>,
+    capacity: Option<ServiceRoom>,
+    peer_demand: Vec<RankDemand>,
+    /// Average call duration at engines; `None` until a call completed.
     call_seconds: Option<f64>,
-    returns: ReturnTimes,
-    ends: EndRate,
+    retry_schedule: RetrySchedule,
+    completions: CompletionRate,
 }
 
 impl ServiceQueue {
-    /// An empty queue before engines of which nothing is known: until something is, all calls are let in.
+    /// Starts empty, with unknown capacity: until it is known, all calls are admitted.
     pub fn new(settings: ServiceQueueSettings) -> Self {
         Self {
             settings,
-            waiting: WaitingList::new(settings.most_waiting),
+            waiting: WaitingList::new(settings.max_waiting),
             bytes: 0,
             running: BTreeMap::new(),
-            room: None,
-            others: Vec::new(),
+            capacity: None,
+            peer_demand: Vec::new(),
             call_seconds: None,
-            returns: ReturnTimes::default(),
-            ends: EndRate::default(),
+            retry_schedule: RetrySchedule::default(),
+            completions: CompletionRate::default(),
         }
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Calls under way at engines.
+    /// Number of calls in flight at engines.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// The room that is believed in.
+    /// The capacity as last updated; `None` if unknown.
     pub fn room(&self) -> Option<&ServiceRoom> {
-        self.room.as_ref()
+        self.capacity.as_ref()
     }
 
-    /// Calls of this node, by rank.
+    /// This node's calls by rank.
     pub fn demand(&self, now: Timestamp) -> Vec<RankDemand> {
         let mut by_rank: BTreeMap<PriorityRank, RankDemand> = BTreeMap::new();
         for running in self.running.values() {
-            by_rank.entry(running.rank).or_insert_with(|| none_of(running.rank)).running += 1.0;
+            by_rank.entry(running.rank).or_insert_with(|| empty_demand(running.rank)).running += 1.0;
         }
         for (_, waiting) in self.waiting.iter() {
-            let rank = waiting.call.rank_now(now);
-            by_rank.entry(rank).or_insert_with(|| none_of(rank)).waiting += 1.0;
+            let rank = waiting.call.effective_rank(now);
+            by_rank.entry(rank).or_insert_with(|| empty_demand(rank)).waiting += 1.0;
         }
         by_rank.into_values().collect()
     }
 
-    /// The room, where anything is known of it, and the demand of other nodes were learned anew.
+    /// Updates the capacity (`None` if unknown) and the demand of peers.
     pub fn room_changed(
         &mut self,
-        room: Option<ServiceRoom>,
-        others: Vec<RankDemand>,
+        capacity: Option<ServiceRoom>,
+        peer_demand: Vec<RankDemand>,
         now: Timestamp,
     ) -> Vec<ServiceQueueAction> {
-        self.room = room;
-        self.others = others;
-        self.proceed(now)
+        self.capacity = capacity;
+        self.peer_demand = peer_demand;
+        self.process_queue(now)
     }
 
-    /// A call wants to go to an engine.
+    /// Adds a call, which may be admitted or rejected at once.
     pub fn arrived(
         &mut self,
         ticket: QueueTicket,
@@ -194,245 +186,271 @@
         now: Timestamp,
     ) -> Vec<ServiceQueueAction> {
         let mut actions = Vec::new();
-        if self.waiting.is_full() || self.holds_too_much_with(&call) {
-            actions.extend(self.make_place(&call, now));
+        if self.waiting.is_full() || self.exceeds_byte_limit_with(&call) {
+            actions.extend(self.reject_to_fit(&call, now));
         }
-        if self.holds_too_much_with(&call) || self.waiting.push(ticket, call, now).is_err() {
-            let expected_wait = self.wait_of_last(&call, now);
-            actions.push(self.refusal(ticket, RefusalReason::QueueFull, Duration::ZERO, expected_wait, now));
+        if self.exceeds_byte_limit_with(&call) || self.waiting.push(ticket, call, now).is_err() {
+            let expected_wait = self.expected_wait_at_end(&call, now);
+            actions.push(self.rejection(
+                ticket,
+                RefusalReason::QueueFull,
+                Duration::ZERO,
+                expected_wait,
+                now,
+            ));
             return actions;
         }
         self.bytes += call.bytes;
-        actions.extend(self.proceed(now));
+        actions.extend(self.process_queue(now));
         actions
     }
 
-    /// Whether waiting calls would hold more than they may. One call may wait whatever its size, as it may find room at once.
-    fn holds_too_much_with(&self, call: &QueuedCall) -> bool {
-        !self.waiting.is_empty() && self.bytes + call.bytes > self.settings.most_bytes
+    /// Whether a call would exceed the byte limit. The first waiting call never does, as it may be admitted at once.
+    fn exceeds_byte_limit_with(&self, call: &QueuedCall) -> bool {
+        !self.waiting.is_empty() && self.bytes + call.bytes > self.settings.max_waiting_bytes
     }
 
-    /// A call's caller left before it was served, or no engine served it: that says nothing of how fast engines are.
+    /// Removes a call that no engine served. Unlike [`Self::ended`], this doesn't count as a completion.
     pub fn gave_up(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
         if self.take(ticket).is_none() {
             self.running.remove(&ticket);
         }
-        self.proceed(now)
+        self.process_queue(now)
     }
 
-    /// A call's caller left, or an engine served the call.
+    /// Removes a waiting call whose caller left, or completes one that was in flight.
     pub fn ended(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
         if self.take(ticket).is_none()
             && let Some(running) = self.running.remove(&ticket)
         {
-            self.learn(now.since(running.since));
-            self.ends.ended(now);
+            self.record_call_time(now.since(running.started_at));
+            self.completions.record_completion(now);
         }
-        self.proceed(now)
+        self.process_queue(now)
     }
 
-    /// When the caller of a call comes back that was let in, but that no engine took; [`Self::gave_up`] is told besides.
+    /// Retry delay for a call that was admitted but that no engine accepted. [`Self::gave_up`] has to be called as well.
     pub fn return_of_turned_away(&mut self, now: Timestamp) -> Duration {
-        self.returns.next(Duration::ZERO, self.ends.per_second(now), now)
+        self.retry_schedule.schedule_retry(Duration::ZERO, self.completions.per_second(now), now)
     }
 
-    /// Time has passed.
+    /// Admits and rejects calls after time has passed.
     pub fn tick(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
-        self.proceed(now)
+        self.process_queue(now)
     }
 
-    /// Lets in what there is room for, and refuses what can't be served any more.
-    fn proceed(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
-        let mut actions = self.let_in(now);
-        actions.extend(self.refuse_unservable(now));
+    fn process_queue(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
+        let mut actions = self.admit_waiting(now);
+        actions.extend(self.reject_unservable(now));
         actions
     }
 
-    fn let_in(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
+    fn admit_waiting(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
         let mut actions = Vec::new();
         if self.waiting.is_empty() {
             return actions;
         }
         let shares = self.shares(now);
-        while let Some(ticket) = self.next(shares.as_deref(), now) {
+        while let Some(ticket) = self.next_admissible(shares.as_deref(), now) {
             let Some(waiting) = self.take(ticket) else { break };
-            let rank = waiting.call.rank_now(now);
-            self.running.insert(ticket, Running { rank, since: now });
-            actions.push(ServiceQueueAction::LetIn { ticket, waited: now.since(waiting.since) });
+            let rank = waiting.call.effective_rank(now);
+            self.running.insert(ticket, RunningCall { rank, started_at: now });
+            actions.push(ServiceQueueAction::LetIn { ticket, waited: now.since(waiting.enqueued_at) });
         }
         actions
     }
 
-    /// The first call in order for which there is room.
-    fn next(&self, shares: Option<&[RankShare]>, now: Timestamp) -> Option<QueueTicket> {
+    /// The first call in order that the shares admit.
+    fn next_admissible(&self, shares: Option<&[RankShare]>, now: Timestamp) -> Option<QueueTicket> {
         let bound = self.settings.starvation_bound;
-        let rooms = shares.map(|shares| self.ranks_with_room(shares, now));
-        let room_for_any = shares.is_none_or(|shares| self.has_room(PriorityRank::MAX, shares));
-        let has_room = |waiting: &Waiting<QueuedCall>| match &rooms {
+        let admissible_ranks = shares.map(|shares| self.ranks_with_capacity(shares, now));
+        let has_any_capacity = shares.is_none_or(|shares| self.has_capacity(PriorityRank::MAX, shares));
+        let has_capacity = |waiting: &WaitingCall<QueuedCall>| match &admissible_ranks {
             None => true,
-            Some(_) if is_starving(&waiting.call, waiting.since, now, bound) => room_for_any,
-            Some(ranks) => ranks.contains(&waiting.call.rank_now(now)),
+            Some(_) if is_starving(&waiting.call, waiting.enqueued_at, now, bound) => has_any_capacity,
+            Some(ranks) => ranks.contains(&waiting.call.effective_rank(now)),
         };
-        let candidates = self.waiting.iter().filter(|(_, waiting)| has_room(waiting));
-        let first =
-            candidates.min_by_key(|(_, waiting)| program_order(&waiting.call, waiting.since, now, bound));
+        let candidates = self.waiting.iter().filter(|(_, waiting)| has_capacity(waiting));
+        let first = candidates
+            .min_by_key(|(_, waiting)| program_order_key(&waiting.call, waiting.enqueued_at, now, bound));
         first.map(|(ticket, _)| ticket)
     }
 
-    fn ranks_with_room(&self, shares: &[RankShare], now: Timestamp) -> Vec<PriorityRank> {
+    fn ranks_with_capacity(&self, shares: &[RankShare], now: Timestamp) -> Vec<PriorityRank> {
         let ranks = shares.iter().map(|share| share.rank);
-        ranks.filter(|rank| self.rank_has_room(*rank, shares, now) && self.has_room(*rank, shares)).collect()
+        ranks
+            .filter(|rank| self.rank_has_capacity(*rank, shares, now) && self.has_capacity(*rank, shares))
+            .collect()
     }
 
-    /// Whether there is room for one more call beside those of a rank and of higher ones.
-    fn has_room(&self, rank: PriorityRank, shares: &[RankShare]) -> bool {
+    /// Whether one more call fits beside those of this rank and of higher ones.
+    fn has_capacity(&self, rank: PriorityRank, shares: &[RankShare]) -> bool {
         let all: f64 = shares.iter().filter(|share| share.rank <= rank).map(|share| share.calls).sum();
         let running = self.running.values().filter(|running| running.rank <= rank).count();
-        (running as f64) < all + ROUNDING
+        (running as f64) < all + DEFAULT_ROUNDING_OFFSET
     }
 
-    fn rank_has_room(&self, rank: PriorityRank, shares: &[RankShare], now: Timestamp) -> bool {
+    fn rank_has_capacity(&self, rank: PriorityRank, shares: &[RankShare], now: Timestamp) -> bool {
         let share = shares.iter().find(|share| share.rank == rank).map_or(0.0, |share| share.calls);
         let running = self.running.values().filter(|running| running.rank == rank).count();
-        running as f64 + 1.0 <= share + self.rounding(now)
+        running as f64 + 1.0 <= share + self.rounding_offset(now)
     }
 
-    /// What is added to a share before it is cut to whole calls: another number at each node, and from second to second.
-    fn rounding(&self, now: Timestamp) -> f64 {
-        let Some(number) = self.settings.node_number else { return ROUNDING };
-        let of_node = number as f64 / u64::MAX as f64;
-        (of_node + now.as_seconds().floor() * GOLDEN_STEP).fract()
+    /// Added to a share before it is cut to whole calls; differs between nodes and from second to second.
+    fn rounding_offset(&self, now: Timestamp) -> f64 {
+        let Some(node_number) = self.settings.node_number else { return DEFAULT_ROUNDING_OFFSET };
+        let node_offset = node_number as f64 / u64::MAX as f64;
+        (node_offset + now.as_seconds().floor() * GOLDEN_STEP).fract()
     }
 
-    /// This node's shares of the room; `None` where nothing is known of it.
+    /// This node's shares; `None` if the capacity is unknown.
     fn shares(&self, now: Timestamp) -> Option<Vec<RankShare>> {
-        let room = self.room?;
-        Some(shares(&room, &self.demand(now), &self.others))
+        let capacity = self.capacity?;
+        Some(allocate_shares(&capacity, &self.demand(now), &self.peer_demand))
     }
 
-    fn refuse_unservable(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
-        let refused = self.unservable(now);
-        let mut actions = Vec::with_capacity(refused.len());
-        for (ticket, reason, expected_wait) in refused {
+    fn reject_unservable(&mut self, now: Timestamp) -> Vec<ServiceQueueAction> {
+        let rejected = self.find_unservable(now);
+        let mut actions = Vec::with_capacity(rejected.len());
+        for (ticket, reason, expected_wait) in rejected {
             let Some(waiting) = self.take(ticket) else { continue };
-            let waited = now.since(waiting.since);
-            actions.push(self.refusal(ticket, reason, waited, expected_wait, now));
+            let waited = now.since(waiting.enqueued_at);
+            actions.push(self.rejection(ticket, reason, waited, expected_wait, now));
         }
         actions
     }
 
-    fn reason_to_refuse(
+    fn rejection_reason(
         &self,
-        waiting: &Waiting<QueuedCall>,
+        waiting: &WaitingCall<QueuedCall>,
         wait: Duration,
         now: Timestamp,
     ) -> Option<RefusalReason> {
         let call = &waiting.call;
-        let let_in_at = now + wait;
-        if !call.can_be_answered(let_in_at) {
+        let admitted_at = now + wait;
+        if !call.can_meet_deadline(admitted_at) {
             return Some(RefusalReason::CannotBeAnswered);
         }
-        let end = call.program_end.filter(|_| call.stage != ProgramStage::UnderWay)?;
-        let patience = end.since(waiting.since).mul_f64(self.settings.first_wait_share);
-        (let_in_at > waiting.since + patience).then_some(RefusalReason::ProgramTooLate)
+        let program_end = call.program_end.filter(|_| call.stage != ProgramStage::UnderWay)?;
+        let max_wait = program_end.since(waiting.enqueued_at).mul_f64(self.settings.first_wait_share);
+        (admitted_at > waiting.enqueued_at + max_wait).then_some(RefusalReason::ProgramTooLate)
     }
 
-    /// Waiting calls that can't be served, with how long they would wait.
-    fn unservable(&self, now: Timestamp) -> Vec<(QueueTicket, RefusalReason, Duration)> {
-        let mut refused = Vec::new();
+    /// Waiting calls that can't be served in time, with their expected waits.
+    fn find_unservable(&self, now: Timestamp) -> Vec<(QueueTicket, RefusalReason, Duration)> {
+        let mut rejected = Vec::new();
         if self.waiting.is_empty() {
-            return refused;
+            return rejected;
         }
         let shares = self.shares(now);
         let bound = self.settings.starvation_bound;
         let mut in_order: Vec<_> = self.waiting.iter().collect();
-        in_order.sort_by_cached_key(|(_, waiting)| program_order(&waiting.call, waiting.since, now, bound));
-        let mut since: Vec<Timestamp> = in_order.iter().map(|(_, waiting)| waiting.since).collect();
-        since.sort_unstable();
-        let mut before: BTreeMap<PriorityRank, usize> = BTreeMap::new();
+        in_order.sort_by_cached_key(|(_, waiting)| {
+            program_order_key(&waiting.call, waiting.enqueued_at, now, bound)
+        });
+        let mut enqueue_times: Vec<Timestamp> =
+            in_order.iter().map(|(_, waiting)| waiting.enqueued_at).collect();
+        enqueue_times.sort_unstable();
+        let mut positions: BTreeMap<PriorityRank, usize> = BTreeMap::new();
         for (ticket, waiting) in in_order {
-            let rank = waiting.call.rank_now(now);
-            let place = before.entry(rank).or_default();
-            // Calls that are refused now count too: while they are short of room, as many go on to arrive.
-            *place += 1;
-            let mut wait = self.wait_in_rank(rank, *place, shares.as_deref());
-            if let Some(goes_first_at) = self.goes_first_at(waiting, now) {
-                let longer = since.partition_point(|since| *since < waiting.since);
-                let behind = self.wait_behind(longer, shares.as_deref());
-                wait = wait.min(goes_first_at.since(now) + behind);
+            let rank = waiting.call.effective_rank(now);
+            let position = positions.entry(rank).or_default();
+            // Calls rejected now count too: while capacity is short, as many keep arriving.
+            *position += 1;
+            let mut wait = self.expected_wait_in_rank(rank, *position, shares.as_deref());
+            if let Some(precedence_at) = self.precedence_time(waiting, now) {
+                let ahead = enqueue_times.partition_point(|enqueued_at| *enqueued_at < waiting.enqueued_at);
+                let wait_behind = self.expected_wait_behind(ahead, shares.as_deref());
+                wait = wait.min(precedence_at.since(now) + wait_behind);
             }
-            if let Some(reason) = self.reason_to_refuse(waiting, wait, now) {
-                refused.push((ticket, reason, wait));
+            if let Some(reason) = self.rejection_reason(waiting, wait, now) {
+                rejected.push((ticket, reason, wait));
             }
         }
-        refused
+        rejected
     }
 
-    /// When a call goes first for having waited so long, if it does: new programs don't count on it, they are refused while it
-    /// costs them little.
-    fn goes_first_at(&self, waiting: &Waiting<QueuedCall>, now: Timestamp) -> Option<Timestamp> {
+    /// When a call takes precedence because it is starving. `None` for calls that never do and, until they starve, for first
+    /// calls: these are better rejected early, when it costs their programs little.
+    fn precedence_time(&self, waiting: &WaitingCall<QueuedCall>, now: Timestamp) -> Option<Timestamp> {
         let bound = self.settings.starvation_bound;
-        let at = now.max(waiting.since + bound);
-        let counts_on_it = at == now || waiting.call.stage == ProgramStage::UnderWay;
-        (counts_on_it && is_starving(&waiting.call, waiting.since, at, bound)).then_some(at)
+        let starves_at = now.max(waiting.enqueued_at + bound);
+        let can_wait_for_it = starves_at == now || waiting.call.stage == ProgramStage::UnderWay;
+        (can_wait_for_it && is_starving(&waiting.call, waiting.enqueued_at, starves_at, bound))
+            .then_some(starves_at)
     }
 
-    /// How long the call at a place among those of its rank waits.
-    fn wait_in_rank(&self, rank: PriorityRank, place: usize, shares: Option<&[RankShare]>) -> Duration {
+    /// Expected wait of the call at a position among those of its rank.
+    fn expected_wait_in_rank(
+        &self,
+        rank: PriorityRank,
+        position: usize,
+        shares: Option<&[RankShare]>,
+    ) -> Duration {
         let share = shares.unwrap_or_default().iter().find(|share| share.rank == rank);
-        self.time_to_let_in(place, share.map_or(0.0, |share| share.calls))
+        self.time_to_admit(position, share.map_or(0.0, |share| share.calls))
     }
 
-    /// How long a call waits that goes next but for some others, whatever their ranks.
-    fn wait_behind(&self, others: usize, shares: Option<&[RankShare]>) -> Duration {
+    /// Expected wait behind a number of calls of any rank.
+    fn expected_wait_behind(&self, calls_ahead: usize, shares: Option<&[RankShare]>) -> Duration {
         let all = shares.unwrap_or_default().iter().map(|share| share.calls).sum();
-        self.time_to_let_in(others, all)
+        self.time_to_admit(calls_ahead, all)
     }
 
-    /// Time until so many calls are let in where so many may be under way; none where nothing is known.
-    fn time_to_let_in(&self, calls: usize, may_run: f64) -> Duration {
-        let Some(call_seconds) = self.call_seconds.filter(|_| may_run > 0.0) else { return Duration::ZERO };
-        let seconds = calls as f64 * call_seconds / may_run;
-        Duration::from_secs_f64(seconds.min(LONGEST_EXPECTED_WAIT.as_secs_f64()))
+    /// Time until `calls` calls are admitted with at most `limit` in flight; zero if unknown.
+    fn time_to_admit(&self, calls: usize, limit: f64) -> Duration {
+        let Some(call_seconds) = self.call_seconds.filter(|_| limit > 0.0) else { return Duration::ZERO };
+        let seconds = calls as f64 * call_seconds / limit;
+        Duration::from_secs_f64(seconds.min(MAX_EXPECTED_WAIT.as_secs_f64()))
     }
 
-    /// How long a call waits that would be the last of its rank.
-    fn wait_of_last(&self, call: &QueuedCall, now: Timestamp) -> Duration {
-        let rank = call.rank_now(now);
-        let of_rank = self.waiting.iter().filter(|(_, waiting)| waiting.call.rank_now(now) == rank);
-        self.wait_in_rank(rank, of_rank.count() + 1, self.shares(now).as_deref())
+    /// Expected wait of a call that would be the last of its rank.
+    fn expected_wait_at_end(&self, call: &QueuedCall, now: Timestamp) -> Duration {
+        let rank = call.effective_rank(now);
+        let calls_of_rank =
+            self.waiting.iter().filter(|(_, waiting)| waiting.call.effective_rank(now) == rank);
+        self.expected_wait_in_rank(rank, calls_of_rank.count() + 1, self.shares(now).as_deref())
     }
 
-    /// Refuses the last calls in order that are behind a call that arrives, as many as it needs the place of; none where
-    /// they don't hold enough.
-    fn make_place(&mut self, call: &QueuedCall, now: Timestamp) -> Vec<ServiceQueueAction> {
+    /// Rejects the last calls in order that rank behind an arriving call, as many as it needs to fit; none if rejecting all
+    /// of them would not suffice.
+    fn reject_to_fit(&mut self, call: &QueuedCall, now: Timestamp) -> Vec<ServiceQueueAction> {
         let bound = self.settings.starvation_bound;
-        let own_key = program_order(call, now, now, bound);
-        let key = |waiting: &Waiting<QueuedCall>| program_order(&waiting.call, waiting.since, now, bound);
+        let own_key = program_order_key(call, now, now, bound);
+        let key = |waiting: &WaitingCall<QueuedCall>| {
+            program_order_key(&waiting.call, waiting.enqueued_at, now, bound)
+        };
         let mut behind: Vec<_> = self.waiting.iter().filter(|(_, waiting)| key(waiting) >= own_key).collect();
         behind.sort_by_cached_key(|(_, waiting)| Reverse(key(waiting)));
-        let (mut places, mut bytes, mut last) = (self.waiting.len(), self.bytes + call.bytes, Vec::new());
+        let (mut waiting_calls, mut bytes, mut evicted) =
+            (self.waiting.len(), self.bytes + call.bytes, Vec::new());
         for (ticket, waiting) in behind {
-            if places < self.settings.most_waiting && bytes <= self.settings.most_bytes {
+            if waiting_calls < self.settings.max_waiting && bytes <= self.settings.max_waiting_bytes {
                 break;
             }
-            places -= 1;
+            waiting_calls -= 1;
             bytes -= waiting.call.bytes;
-            last.push(ticket);
+            evicted.push(ticket);
         }
-        if places >= self.settings.most_waiting || bytes > self.settings.most_bytes {
+        if waiting_calls >= self.settings.max_waiting || bytes > self.settings.max_waiting_bytes {
             return Vec::new();
         }
-        last.into_iter().filter_map(|ticket| self.refuse_as_full(ticket, now)).collect()
+        evicted.into_iter().filter_map(|ticket| self.reject_as_full(ticket, now)).collect()
     }
 
-    fn refuse_as_full(&mut self, ticket: QueueTicket, now: Timestamp) -> Option<ServiceQueueAction> {
+    fn reject_as_full(&mut self, ticket: QueueTicket, now: Timestamp) -> Option<ServiceQueueAction> {
         let waiting = self.take(ticket)?;
-        let expected_wait = self.wait_of_last(&waiting.call, now);
-        Some(self.refusal(ticket, RefusalReason::QueueFull, now.since(waiting.since), expected_wait, now))
+        let expected_wait = self.expected_wait_at_end(&waiting.call, now);
+        Some(self.rejection(
+            ticket,
+            RefusalReason::QueueFull,
+            now.since(waiting.enqueued_at),
+            expected_wait,
+            now,
+        ))
     }
 
-    fn refusal(
+    fn rejection(
         &mut self,
         ticket: QueueTicket,
         reason: RefusalReason,
@@ -440,23 +458,24 @@
         expected_wait: Duration,
         now: Timestamp,
     ) -> ServiceQueueAction {
-        let retry_after = self.returns.next(expected_wait, self.ends.per_second(now), now);
+        let retry_after =
+            self.retry_schedule.schedule_retry(expected_wait, self.completions.per_second(now), now);
         ServiceQueueAction::Refuse { ticket, reason, waited, expected_wait, retry_after }
     }
 
-    fn take(&mut self, ticket: QueueTicket) -> Option<Waiting<QueuedCall>> {
+    fn take(&mut self, ticket: QueueTicket) -> Option<WaitingCall<QueuedCall>> {
         let waiting = self.waiting.remove(ticket)?;
         self.bytes = self.bytes.saturating_sub(waiting.call.bytes);
         Some(waiting)
     }
 
-    fn learn(&mut self, took: Duration) {
-        let took = took.as_secs_f64();
-        let average = self.call_seconds.get_or_insert(took);
-        *average += LEARNING_RATE * (took - *average);
+    fn record_call_time(&mut self, call_time: Duration) {
+        let call_time = call_time.as_secs_f64();
+        let average = self.call_seconds.get_or_insert(call_time);
+        *average += LEARNING_RATE * (call_time - *average);
     }
 }
 
-fn none_of(rank: PriorityRank) -> RankDemand {
+fn empty_demand(rank: PriorityRank) -> RankDemand {
     RankDemand { rank, running: 0.0, waiting: 0.0 }
 }
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -1,82 +1,82 @@
-//! How the room of a service is shared between ranks, and between the nodes that use it.
+//! Division of a service's capacity between ranks, and between the nodes that use it.
 //!
-//! Needed when load is larger than the room: without it all nodes send what they have, the engines' queues fill in the
-//! order of arrival, and the highest rank waits behind the lowest. Each node works its part out by itself from what all
-//! told of their demand, so the parts add up to the room as far as all know the same.
+//! Under overload, nodes without shares would fill the engines' queues in order of arrival, and the highest rank would wait
+//! behind the lowest. Each node computes its own shares from the demand that all nodes report; the shares of all nodes add
+//! up to the capacity if they are computed from the same reports.
 
 use crate::PriorityRank;
 
-/// Part of a service's room that a lower rank keeps while higher ones ask for all of it, so that its programs still end.
-const LEAST_SHARE: f64 = 0.05;
+/// Fraction of the capacity reserved for each rank with demand, so that low ranks make progress while higher ones demand
+/// all of it.
+const MIN_SHARE: f64 = 0.05;
 
-/// Calls of one rank that want to use a service.
+/// Calls of one rank at a service, in flight and waiting.
 #[derive(Debug, Clone, Copy, PartialEq)]
+#[allow(missing_docs)]
 pub struct RankDemand {
-    /// The rank; lower is served first.
     pub rank: PriorityRank,
-    /// Calls under way at engines.
+    /// Calls in flight at engines.
     pub running: f64,
-    /// Calls that wait for room.
     pub waiting: f64,
 }
 
 impl RankDemand {
-    /// Calls under way and waiting.
+    /// All calls, in flight and waiting.
     pub fn calls(&self) -> f64 {
         self.running + self.waiting
     }
 }
 
-/// The room of a service.
+/// Capacity of a service's engines, in calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceRoom {
-    /// Calls that its engines work on at once.
+    /// Calls that the engines process concurrently.
     pub slots: f64,
-    /// Calls that engines hold besides, so that none is idle until the next call reaches it.
+    /// Calls that may queue at the engines beyond the slots, so that no engine idles until the next call reaches it.
     pub short_queue: f64,
-    /// Calls under way there of which no node told a rank.
+    /// Calls in flight that no node has reported with a rank.
     pub unranked: f64,
 }
 
 impl ServiceRoom {
-    /// Calls that a rank may have under way there. Ranks below the highest leave half of the short queue free: a call of
-    /// the highest rank that asks for room then reaches an engine at once also while lower ranks fill all slots.
+    /// Maximum calls in flight for a rank and those above it. Ranks below the highest leave half of the short queue free,
+    /// so that a call of the highest rank reaches an engine at once while lower ranks occupy all slots.
     fn limit(&self, is_highest: bool) -> f64 {
         let queue = if is_highest { self.short_queue } else { self.short_queue / 2.0 };
         (self.slots + queue - self.unranked).max(0.0)
     }
 }
 
-/// What this node may have under way at a service.
+/// This node's share of a service's capacity for one rank.
 #[derive(Debug, Clone, Copy, PartialEq)]
+#[allow(missing_docs)]
 pub struct RankShare {
-    /// The rank.
     pub rank: PriorityRank,
-    /// Calls of the rank that this node may have under way.
+    /// Calls that this node may have in flight.
     pub calls: f64,
-    /// Calls of the rank that all nodes may have under way.
-    pub of_all: f64,
+    /// Calls that all nodes together may have in flight.
+    pub fleet_calls: f64,
 }
 
-/// This node's shares of a room, from the highest rank to the lowest, by its own demand and that of all others.
+/// Computes this node's shares, from the highest rank to the lowest, from its own demand and that of its peers.
 ///
-/// Higher ranks come first; within a rank each node gets as much as its part of the demand.
-pub fn shares(room: &ServiceRoom, own: &[RankDemand], others: &[RankDemand]) -> Vec<RankShare> {
-    let mut ranks: Vec<PriorityRank> = own.iter().chain(others).map(|demand| demand.rank).collect();
+/// Higher ranks are served first; within a rank, nodes share in proportion to their demand.
+pub fn allocate_shares(capacity: &ServiceRoom, own: &[RankDemand], peers: &[RankDemand]) -> Vec<RankShare> {
+    let mut ranks: Vec<PriorityRank> = own.iter().chain(peers).map(|demand| demand.rank).collect();
     ranks.sort_unstable();
     ranks.dedup();
     let highest = ranks.first().copied();
-    let mut used = 0.0;
+    let mut allocated = 0.0;
     let mut shares = Vec::with_capacity(ranks.len());
     for rank in ranks {
-        let limit = room.limit(Some(rank) == highest);
+        let limit = capacity.limit(Some(rank) == highest);
         let own_calls = calls_of(own, rank);
-        let all_calls = own_calls + calls_of(others, rank);
-        let least = all_calls.min(limit * LEAST_SHARE);
-        let of_all = all_calls.min(limit - used).max(least);
-        used += of_all;
-        let part = if all_calls > 0.0 { own_calls / all_calls } else { 0.0 };
-        shares.push(RankShare { rank, calls: of_all * part, of_all });
+        let total_calls = own_calls + calls_of(peers, rank);
+        let reserved = total_calls.min(limit * MIN_SHARE);
+        let fleet_calls = total_calls.min(limit - allocated).max(reserved);
+        allocated += fleet_calls;
+        let fraction = if total_calls > 0.0 { own_calls / total_calls } else { 0.0 };
+        shares.push(RankShare { rank, calls: fleet_calls * fraction, fleet_calls });
     }
     shares
 }
--- a/crates/scheduling/src/waiting_list.rs
+++ b/crates/scheduling/src/waiting_list.rs
@@ -1,95 +1,97 @@
-//! Calls that wait, bounded in number. Their order is worked out when one is taken, as it changes while they wait.
+//! Bounded set of waiting calls. It keeps no order: a call's position changes while it waits, so the first is searched for.
 
 use std::collections::BTreeMap;
 
 use sumacdrift_types::Timestamp;
 
-/// A call that waits.
+/// A waiting call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waiting<Call> {
-    /// What is known of the call.
+#[allow(missing_docs)]
+pub struct WaitingCall<Call> {
     pub call: Call,
-    /// Since when it waits.
-    pub since: Timestamp,
+    pub enqueued_at: Timestamp,
 }
 
-/// No further call may wait.
+/// The list is at capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{most} calls wait already")]
-pub struct ListFull {
-    /// Calls that may wait.
-    pub most: usize,
+#[error("waiting list is full ({capacity} calls)")]
+#[allow(missing_docs)]
+pub struct WaitingListFull {
+    pub capacity: usize,
 }
 
-/// Calls that wait, by their ids.
+/// Waiting calls by id.
 #[derive(Debug)]
 pub struct WaitingList<Id, Call> {
-    calls: BTreeMap<Id, Waiting<Call>>,
-    most: usize,
+    calls: BTreeMap<Id, WaitingCall<Call>>,
+    capacity: usize,
 }
 
 impl<Id: Ord + Copy, Call> WaitingList<Id, Call> {
-    /// An empty list in which so many calls may wait.
-    pub fn new(most: usize) -> Self {
-        Self { calls: BTreeMap::new(), most }
+    /// Creates an empty list for at most `capacity` calls.
+    pub fn new(capacity: usize) -> Self {
+        Self { calls: BTreeMap::new(), capacity }
     }
 
-    /// From now on so many calls may wait; those that wait already stay.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the capacity; calls beyond a lower one stay.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity;
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether no call waits.
+    /// Whether no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether no further call may wait.
+    /// Whether a further call would be rejected.
     pub fn is_full(&self) -> bool {
-        self.calls.len() >= self.most
+        self.calls.len() >= self.capacity
     }
 
-    /// Adds a call.
-    pub fn push(&mut self, id: Id, call: Call, now: Timestamp) -> Result<(), ListFull> {
+    /// Adds a call that waits from `now`; rejects it if the list is full.
+    pub fn push(&mut self, id: Id, call: Call, now: Timestamp) -> Result<(), WaitingListFull> {
         if self.is_full() {
-            return Err(ListFull { most: self.most });
+            return Err(WaitingListFull { capacity: self.capacity });
         }
-        self.calls.insert(id, Waiting { call, since: now });
+        self.calls.insert(id, WaitingCall { call, enqueued_at: now });
         Ok(())
     }
 
-    /// A call that waits.
-    pub fn get(&self, id: Id) -> Option<&Waiting<Call>> {
+    /// Looks up a waiting call.
+    pub fn get(&self, id: Id) -> Option<&WaitingCall<Call>> {
         self.calls.get(&id)
     }
 
-    /// Takes a call out.
-    pub fn remove(&mut self, id: Id) -> Option<Waiting<Call>> {
+    /// Removes a call; `None` if it doesn't wait.
+    pub fn remove(&mut self, id: Id) -> Option<WaitingCall<Call>> {
         self.calls.remove(&id)
     }
 
-    /// The first call by an order, with its id.
-    pub fn first_by<Key: Ord>(&self, key: impl Fn(&Waiting<Call>) -> Key) -> Option<(Id, &Waiting<Call>)> {
+    /// Finds the call with the smallest key.
+    pub fn first_by_key<Key: Ord>(
+        &self,
+        key: impl Fn(&WaitingCall<Call>) -> Key,
+    ) -> Option<(Id, &WaitingCall<Call>)> {
         self.calls.iter().min_by_key(|(_, waiting)| key(waiting)).map(|(id, waiting)| (*id, waiting))
     }
 
-    /// Calls of which something holds.
-    pub fn ids_where(&self, holds: impl Fn(&Waiting<Call>) -> bool) -> Vec<Id> {
-        self.calls.iter().filter(|(_, waiting)| holds(waiting)).map(|(id, _)| *id).collect()
+    /// Ids of the calls that match a predicate.
+    pub fn matching_ids(&self, matches: impl Fn(&WaitingCall<Call>) -> bool) -> Vec<Id> {
+        self.calls.iter().filter(|(_, waiting)| matches(waiting)).map(|(id, _)| *id).collect()
     }
 
-    /// All calls that wait.
-    pub fn iter(&self) -> impl Iterator<Item = (Id, &Waiting<Call>)> {
+    /// Iterates over the waiting calls in order of id.
+    pub fn iter(&self) -> impl Iterator<Item = (Id, &WaitingCall<Call>)> {
         self.calls.iter().map(|(id, waiting)| (*id, waiting))
     }
 
-    /// Takes all calls out.
-    pub fn take_all(&mut self) -> Vec<Id> {
+    /// Removes all calls and returns their ids.
+    pub fn drain_ids(&mut self) -> Vec<Id> {
         std::mem::take(&mut self.calls).into_keys().collect()
     }
 }
--- a/crates/scheduling/src/work.rs
+++ b/crates/scheduling/src/work.rs
@@ -1,56 +1,52 @@
-//! A call as the scheduler sees it.
+//! Calls as the scheduler sees them.
 
 use sumacdrift_types::{CallId, ChatMessage, PrefixDigest, ProgramId, TenantName, Timestamp, TokenCount};
 
-/// Rank of a priority class; lower is served first.
+/// Rank of a priority class; lower ranks are served first.
 pub type PriorityRank = u32;
 
-/// Leading message boundaries that are named in a call: system prompts and shared contexts end there.
+/// Message boundaries listed from the start of a prompt, where system prompts and shared contexts end.
 const LEADING_PREFIXES: usize = 4;
-/// Trailing message boundaries that are named in a call: earlier turns of the program end there.
+/// Message boundaries listed from the end of a prompt, where earlier turns of the program end.
 const TRAILING_PREFIXES: usize = 8;
 
-/// A point in a prompt at which an engine's cache may hold everything before it.
+/// A message boundary of a prompt, up to which an engine's cache may hold the context.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContextPrefix {
-    /// Digest of the messages up to the point.
+    /// Digest of the messages before the boundary.
     pub digest: PrefixDigest,
-    /// Tokens up to the point, by estimate.
+    /// Estimated tokens before the boundary.
     pub tokens: TokenCount,
 }
 
-/// A call that waits for an engine.
+/// A call to be placed on an engine.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub struct Work {
-    /// The call.
     pub call: CallId,
-    /// The program, whose context is looked for.
     pub program: ProgramId,
-    /// The tenant, for fair shares.
     pub tenant: TenantName,
-    /// Rank of its priority class.
     pub rank: PriorityRank,
-    /// Points of the prompt at which caches may match, shortest first; the last one is the whole prompt.
+    /// Message boundaries at which caches may match, shortest first; the last one is the whole prompt.
     pub prefixes: Vec<ContextPrefix>,
-    /// Cap on generated tokens.
     pub max_output_tokens: TokenCount,
-    /// Tokens that the program received before: its attained service.
+    /// Tokens generated for earlier calls of the program.
     pub attained_tokens: TokenCount,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting; `None` if it sets no limit.
     pub deadline: Option<Timestamp>,
 }
 
 impl Work {
-    /// Tokens of the whole prompt, by estimate.
+    /// Estimated tokens of the whole prompt.
     pub fn prompt_tokens(&self) -> TokenCount {
         self.prefixes.last().map_or(0, |prefix| prefix.tokens)
     }
 }
 
-/// Names the points of a prompt at which caches are likely to match.
+/// Selects the message boundaries of a prompt at which caches are likely to match.
 ///
-/// A call that named every message would grow with the program; the first few and the last few boundaries
-/// cover shared contexts and the program's own recent turns.
+/// The first and last few cover shared contexts and the program's recent turns; listing all of them would make
+/// calls grow with the history.
 pub fn context_prefixes(messages: &[ChatMessage]) -> Vec<ContextPrefix> {
     let mut digest = PrefixDigest::default();
     let mut tokens = 0;
