--- a/crates/types/src/chat.rs
+++ b/crates/types/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat messages, their digests and the chained digests that identify a prefix of a history.
+//! Chat messages, their digests and the chained digests that identify prefixes of a history.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,30 +8,30 @@
 
 use crate::{TokenCount, estimate_tokens};
 
-/// Bytes kept of a digest; 128 bits make an accidental collision negligible.
+/// Digests are truncated to 128 bits, which still makes accidental collisions negligible.
 const DIGEST_BYTES: usize = 16;
 
-/// How the messages of a turn relate to the recorded history.
+/// Relation of a turn's messages to the recorded history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HistoryMode {
-    /// The messages begin with the whole recorded history.
+    /// The messages start with the whole recorded history.
     #[default]
     Full,
-    /// The messages hold only what is new.
+    /// The messages are appended to the recorded history.
     Append,
 }
 
-/// Digest of one message's canonical form.
+/// Digest of the canonical form of one message.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MessageDigest(pub [u8; DIGEST_BYTES]);
 
-/// Digest of a whole sequence of messages, chained from digest to digest.
+/// Digest of a sequence of messages, chained message by message. The default is the empty sequence.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct PrefixDigest(pub [u8; DIGEST_BYTES]);
 
 impl PrefixDigest {
-    /// The digest after one more message.
+    /// The digest of the sequence with one more message.
     pub fn extend(self, message: MessageDigest) -> PrefixDigest {
         PrefixDigest(digest(&[&self.0, &message.0]))
     }
@@ -39,17 +39,17 @@
 
 impl fmt::Debug for MessageDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_hexadecimal(formatter, &self.0)
+        write_hex(formatter, &self.0)
     }
 }
 
 impl fmt::Debug for PrefixDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_hexadecimal(formatter, &self.0)
+        write_hex(formatter, &self.0)
     }
 }
 
-fn write_hexadecimal(formatter: &mut fmt::Formatter<'_>, bytes: &[u8]) -> fmt::Result {
+fn write_hex(formatter: &mut fmt::Formatter<'_>, bytes: &[u8]) -> fmt::Result {
     bytes.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
 }
 
@@ -63,15 +63,15 @@
     output
 }
 
-/// A message is not an object with a textual `role`.
+/// The message is not a JSON object with a string member `role`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("a message is an object with a textual \"role\"")]
+#[error("a message must be a JSON object with a string member \"role\"")]
 pub struct InvalidMessage;
 
-/// One chat message in canonical JSON: members sorted by name, null members left out.
+/// A chat message in canonical JSON: members sorted by name, without null members.
 ///
-/// Client libraries differ in whether they send an absent member or a null one when they echo an earlier
-/// answer; the canonical form makes the two equal, so that such an echo still matches the history.
+/// When client libraries send an earlier answer back, some omit absent members and others send null. The canonical
+/// form makes both equal, so that either matches the recorded history.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ChatMessage {
     canonical: Arc<str>,
@@ -79,7 +79,7 @@
 }
 
 impl ChatMessage {
-    /// Takes a message as a caller sent it.
+    /// Canonicalizes a message sent by a caller.
     pub fn from_value(value: &Value) -> Result<Self, InvalidMessage> {
         let has_role = value.get("role").is_some_and(Value::is_string);
         if !value.is_object() || !has_role {
@@ -88,30 +88,30 @@
         Ok(Self::from_canonical(canonical_json(value)))
     }
 
-    /// An assistant's answer that consists of text alone.
+    /// Creates an assistant message with plain text content.
     pub fn assistant(text: &str) -> Self {
         let content = Value::String(text.to_owned());
         Self::from_canonical(format!("{{\"content\":{content},\"role\":\"assistant\"}}"))
     }
 
-    /// Takes text that `canonical` returned earlier.
+    /// Restores a message from the text returned by [`Self::canonical`], without checking it.
     pub fn from_canonical(canonical: impl Into<Arc<str>>) -> Self {
         let canonical = canonical.into();
         let digest = MessageDigest(digest(&[canonical.as_bytes()]));
         Self { canonical, digest }
     }
 
-    /// The canonical JSON text.
+    /// Canonical JSON text.
     pub fn canonical(&self) -> &str {
         &self.canonical
     }
 
-    /// The digest of the canonical form.
+    /// Digest of the canonical form.
     pub fn digest(&self) -> MessageDigest {
         self.digest
     }
 
-    /// Rough number of tokens, for use before an engine has counted.
+    /// Rough token count, for use until an engine reports the exact one.
     pub fn estimated_tokens(&self) -> TokenCount {
         estimate_tokens(self.canonical.len())
     }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers as distinct types, so that one kind is never passed where another is meant.
+//! Identifiers as distinct types, so that they can't be confused with each other.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,18 +6,17 @@
 use rand::RngCore;
 use serde::{Deserialize, Serialize};
 
-/// Longest name accepted for any textual identifier, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// A textual identifier was empty, too long, or held a character outside `A-Z a-z 0-9 . _ : -`.
+/// The name is empty, longer than 128 bytes, or contains a character outside `A-Z a-z 0-9 . _ : -`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a name has 1 to {MAX_NAME_BYTES} characters out of A-Z a-z 0-9 . _ : - and this one does not")]
 pub struct InvalidName;
 
 fn validate_name(text: &str) -> Result<(), InvalidName> {
-    let length_fits = (1..=MAX_NAME_BYTES).contains(&text.len());
-    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
-    if length_fits && text.bytes().all(allowed) { Ok(()) } else { Err(InvalidName) }
+    let has_valid_length = (1..=MAX_NAME_BYTES).contains(&text.len());
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
+    if has_valid_length && text.bytes().all(is_allowed) { Ok(()) } else { Err(InvalidName) }
 }
 
 macro_rules! name_type {
@@ -28,13 +27,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks the text against the rules for names.
+            /// Validates a name; [`InvalidName`] states the rules.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
                 validate_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// The validated name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -68,43 +67,43 @@
 }
 
 name_type!(
-    /// A program: a chain of dependent calls chosen by the caller.
+    /// Name of a program, a chain of dependent calls; chosen by the caller.
     ProgramId
 );
 name_type!(
-    /// A tenant: the owner of API keys, limits and budgets.
+    /// Name of a tenant, which owns API keys, limits and budgets.
     TenantName
 );
 name_type!(
-    /// A pool of model engines that serve the same models.
+    /// Name of a pool of engines that serve the same models.
     PoolName
 );
 name_type!(
-    /// A model as callers name it.
+    /// Name of a model, as used by callers.
     ModelName
 );
 name_type!(
-    /// One engine; unique in the whole configuration.
+    /// Name of an engine, unique within the configuration.
     EngineName
 );
 name_type!(
-    /// A plain HTTP service that is forwarded to.
+    /// Name of a plain HTTP service to which requests are forwarded.
     ServiceName
 );
 name_type!(
-    /// A priority class.
+    /// Name of a priority class.
     PriorityName
 );
 name_type!(
-    /// A failure domain within a region.
+    /// Name of a zone, a failure domain within a region.
     ZoneName
 );
 name_type!(
-    /// A group of zones that are close to each other.
+    /// Name of a region, a group of nearby zones.
     RegionName
 );
 name_type!(
-    /// A caller's key that marks repetitions of one request as the same request.
+    /// Key by which a caller marks repetitions of a request.
     IdempotencyKey
 );
 
@@ -126,56 +125,56 @@
 }
 
 number_type!(
-    /// A node, as its settings file numbers it.
+    /// Number of a node, from its settings file.
     NodeId, u32
 );
 number_type!(
-    /// One life of a node's process; drawn anew at each start, larger for later starts.
+    /// One run of a node's process: drawn at each start, larger for later starts.
     Incarnation, u64
 );
 number_type!(
-    /// A slice of the program space, replicated as one group.
+    /// A partition of the programs, replicated as one group.
     ShardId, u32
 );
 number_type!(
-    /// Position of a call within its program, from zero.
+    /// Zero-based position of a call within its program.
     TurnNumber, u32
 );
 number_type!(
-    /// Version of the configuration; strictly rising.
+    /// Version of the configuration, strictly increasing.
     Generation, u64
 );
 
 impl TurnNumber {
-    /// The turn after this one.
+    /// The following turn.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// One call as a gateway accepted it; unique across the fleet.
+/// Identifies a call accepted by a gateway; unique across the fleet.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u128);
 
 impl CallId {
-    /// Draws a call id from a random source.
+    /// Draws a random id.
     pub fn random(source: &mut dyn RngCore) -> Self {
         let high = u128::from(source.next_u64());
         let low = u128::from(source.next_u64());
         Self(high << u64::BITS | low)
     }
 
-    /// The two halves, high first, as the internal protocol carries them.
+    /// The high and the low half, as carried by the internal protocol.
     pub fn to_halves(self) -> [u64; 2] {
         [(self.0 >> u64::BITS) as u64, self.0 as u64]
     }
 
-    /// Rebuilds an id from its two halves.
+    /// Inverse of [`Self::to_halves`].
     pub fn from_halves(high: u64, low: u64) -> Self {
         Self(u128::from(high) << u64::BITS | u128::from(low))
     }
 
-    /// Reads the 32 hexadecimal digits that `Display` writes.
+    /// Parses the hexadecimal form written by `Display`; `None` if `text` is not a hexadecimal number.
     pub fn parse(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().map(Self)
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Vocabulary shared by every crate: identifiers, time, chat messages, usage and result codes.
+//! Types shared by all crates: identifiers, time, chat messages, usage and result codes.
 //!
-//! This crate holds no behaviour that needs a clock, a socket or a task, so that each decision crate can
-//! depend on it without pulling in a runtime.
+//! Nothing here needs a clock, a socket or a task, so that decision crates can depend on it without pulling in an
+//! async runtime.
 
 mod chat;
 mod ids;
--- a/crates/types/src/mechanism.rs
+++ b/crates/types/src/mechanism.rs
@@ -1,50 +1,50 @@
-//! Mechanisms that decide where calls go and how the ledger is asked, each of which operators can switch off.
+//! Optional mechanisms of call placement and ledger access, which operators can switch off one by one.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism that can be switched off. Calls are served without it, less well.
+/// A mechanism that can be switched off. Without it, calls are still served, but less well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Prompts that engines hold count where a turn is placed.
+    /// Placement prefers engines that hold parts of a turn's prompt in their caches.
     HeldPrompts,
-    /// What other edges tell of prompts that engines hold.
+    /// Cached prompts reported by other edges are taken into account.
     ToldPrompts,
-    /// What other edges tell of their calls.
+    /// Loads reported by other edges are taken into account.
     ToldLoads,
-    /// Engines' slowness, as their answers show it.
+    /// Placement accounts for the slowness of engines, as measured on their answers.
     Slowness,
-    /// The way between zones.
+    /// Placement accounts for the distance between zones.
     Zones,
-    /// Open connections are preferred.
+    /// Placement prefers engines with an open connection.
     OpenConnections,
-    /// Delay of the calls under way counts where a turn is placed.
+    /// Placement accounts for the delay that a turn inflicts on calls in flight.
     OthersDelay,
-    /// Programs are told apart by urgency.
+    /// Engines receive an urgency for each turn of a program.
     Urgency,
     /// Engines whose calls fail are avoided.
     Health,
-    /// Engines at which other edges' calls fail are avoided.
+    /// Engines at which calls of other edges fail are avoided.
     ToldFailures,
-    /// Engines that fail a far larger part of all edges' calls than the rest of their service are put aside for a time.
+    /// Engines whose failure rate over all edges far exceeds that of their service are ejected for a time.
     OutlierEjection,
-    /// Connections rest for less after one was found dead.
+    /// The idle time of reused connections is limited after an idle one was reset.
     RestLimit,
-    /// Calls wait a moment for the first configuration.
+    /// Calls that arrive during startup wait for the first configuration.
     StartWait,
-    /// The ledger's other members are asked where the first ones are late.
+    /// Ledger requests are hedged: further replicas are asked when the first ones are late.
     Hedging,
-    /// Members that were late are asked last.
+    /// Ledger replicas that were late are asked last.
     Suspects,
-    /// Questions to the ledger go around a cut.
+    /// Ledger requests are relayed by other nodes to replicas that this node can't reach.
     Relays,
-    /// Cold engines get as many calls as they can take; without it they get none.
+    /// Cold engines get a limited rate of calls; without this mechanism they get none.
     ColdPermits,
-    /// Calls beyond a node's share of the room wait there, in order.
+    /// Calls that exceed a node's share of the capacity wait in order at the node.
     WaitingQueue,
 }
 
-/// All of them with their names in settings.
+/// Names in settings.
 const NAMES: [(Mechanism, &str); 18] = [
     (Mechanism::HeldPrompts, "held-prompts"),
     (Mechanism::ToldPrompts, "told-prompts"),
@@ -66,12 +66,12 @@
     (Mechanism::WaitingQueue, "waiting-queue"),
 ];
 
-/// There is no mechanism of this name.
+/// No mechanism has this name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("there is no mechanism {0:?}; known are: {known}", known = names().collect::<Vec<_>>().join(", "))]
+#[error("unknown mechanism {0:?}; known mechanisms: {known}", known = names().collect::<Vec<_>>().join(", "))]
 pub struct UnknownMechanism(pub String);
 
-/// The names of all mechanisms.
+/// Names of all mechanisms, as used in settings.
 pub fn names() -> impl Iterator<Item = &'static str> {
     NAMES.iter().map(|(_, name)| *name)
 }
@@ -92,17 +92,17 @@
     }
 }
 
-/// The mechanisms that are switched off.
+/// Set of mechanisms that are switched off; empty by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SwitchedOff(u32);
 
 impl SwitchedOff {
-    /// Whether a mechanism is at work.
+    /// Whether a mechanism is on.
     pub fn allows(self, mechanism: Mechanism) -> bool {
         self.0 & bit(mechanism) == 0
     }
 
-    /// The same with one more mechanism switched off.
+    /// Adds a mechanism to the set.
     pub fn with(self, mechanism: Mechanism) -> Self {
         Self(self.0 | bit(mechanism))
     }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a call does not end with an answer.
+//! Rejections and failures as reported to callers.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 
 use crate::ResultCode;
 
-/// Whether a request has run at a back end.
+/// Whether a back end has run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Proven not to have reached any back end.
+    /// It is certain that no back end received the request.
     No,
-    /// Has run to its end.
+    /// A back end ran it to its end.
     Yes,
-    /// A back end may have received it; the system never runs it again by itself.
+    /// A back end may have received it; it is never repeated automatically.
     Unknown,
 }
 
 impl Ran {
-    /// The word used in problem bodies.
+    /// Value in problem bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
@@ -36,38 +36,37 @@
     }
 }
 
-/// The typed form of every refusal and failure that leaves the system.
+/// A rejection or failure, as reported to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {detail} (ran: {ran})")]
+#[allow(missing_docs)]
 pub struct Problem {
-    /// Numbered reason.
     pub code: ResultCode,
-    /// Sentence for a person, free of secrets.
+    /// Explanation for a person; must not contain secrets.
     pub detail: String,
-    /// Whether the request has run.
     pub ran: Ran,
-    /// When a repetition is worth trying, if it ever is.
+    /// Delay after which a retry may succeed; `None` if no retry is suggested.
     pub retry_after: Option<Duration>,
 }
 
 impl Problem {
-    /// A refusal of a request that reached no back end.
+    /// A rejection of a request that no back end received.
     pub fn not_run(code: ResultCode, detail: impl Into<String>) -> Self {
         Self { code, detail: detail.into(), ran: Ran::No, retry_after: None }
     }
 
-    /// A failure whose effect at the back end is not known.
+    /// A failure of a request that a back end may have run.
     pub fn unknown(code: ResultCode, detail: impl Into<String>) -> Self {
         Self { code, detail: detail.into(), ran: Ran::Unknown, retry_after: None }
     }
 
-    /// Adds the time after which a repetition makes sense.
+    /// Sets the delay after which a retry may succeed.
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// Replaces the statement on whether the request has run.
+    /// Sets whether the request has run.
     pub fn with_ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
--- a/crates/types/src/places.rs
+++ b/crates/types/src/places.rs
@@ -1,4 +1,4 @@
-//! Zones and regions: where machines stand, how near they are to each other, and in which regions work may be done.
+//! Topology of the fleet: zones, regions, nearness, and the regions in which work is allowed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -6,108 +6,108 @@
 
 use crate::ids::RegionName;
 
-/// How near two machines are.
+/// Topological distance between two machines; nearer variants are smaller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Nearness {
-    /// In one zone.
+    /// Same zone.
     Zone,
-    /// In two zones of one region.
+    /// Same region, different zones.
     Region,
-    /// In two regions.
+    /// Different regions.
     Elsewhere,
 }
 
-/// Which region each zone belongs to.
+/// Assignment of zones to regions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Places {
-    regions: BTreeMap<Arc<str>, RegionName>,
+    region_by_zone: BTreeMap<Arc<str>, RegionName>,
 }
 
 impl Places {
-    /// The regions of these zones.
+    /// Creates the assignment from pairs of a zone and its region.
     pub fn new(regions: impl IntoIterator<Item = (Arc<str>, RegionName)>) -> Self {
-        Self { regions: regions.into_iter().collect() }
+        Self { region_by_zone: regions.into_iter().collect() }
     }
 
-    /// The region of a zone; `None` where nothing is known of it.
+    /// Region of a zone; `None` if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> Option<&RegionName> {
-        self.regions.get(zone)
+        self.region_by_zone.get(zone)
     }
 
-    /// How near two zones are. Where no zone is known, all belong to one region.
+    /// Nearness of two zones. If no zone is assigned, all belong to one region.
     pub fn nearness(&self, one: &str, other: &str) -> Nearness {
         if one == other {
             return Nearness::Zone;
         }
-        let are_in_one_region = self.regions.is_empty()
+        let is_same_region = self.region_by_zone.is_empty()
             || self.region_of(one).is_some_and(|region| self.region_of(other) == Some(region));
-        if are_in_one_region { Nearness::Region } else { Nearness::Elsewhere }
+        if is_same_region { Nearness::Region } else { Nearness::Elsewhere }
     }
 }
 
-/// A machine's zone, and what is known of all zones.
+/// Zone of a machine within the topology.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Location {
-    /// The zone.
     pub zone: Arc<str>,
-    /// All zones.
     pub places: Arc<Places>,
 }
 
 impl Location {
-    /// A machine in a zone of a fleet of one region.
+    /// A location in a fleet without configured regions.
     pub fn in_zone(zone: &str) -> Self {
         Self { zone: Arc::from(zone), places: Arc::default() }
     }
 
-    /// How near a zone is.
+    /// Nearness of a zone to this location.
     pub fn nearness(&self, zone: &str) -> Nearness {
         self.places.nearness(&self.zone, zone)
     }
 }
 
-/// The regions in which work may be done; all of them unless some are named.
+/// Set of regions in which work is allowed; all regions by default.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AllowedRegions {
-    named: Option<BTreeSet<RegionName>>,
+    /// `None` allows all regions.
+    allowed: Option<BTreeSet<RegionName>>,
 }
 
 impl AllowedRegions {
-    /// Only these regions; all where none is named.
+    /// Allows only these regions; all regions if `regions` is empty.
     pub fn only(regions: impl IntoIterator<Item = RegionName>) -> Self {
-        let named: BTreeSet<RegionName> = regions.into_iter().collect();
-        Self { named: (!named.is_empty()).then_some(named) }
+        let allowed: BTreeSet<RegionName> = regions.into_iter().collect();
+        Self { allowed: (!allowed.is_empty()).then_some(allowed) }
     }
 
-    /// The regions that both allow, which may be none.
+    /// Intersection of both sets; may be empty.
     pub fn and(&self, other: &Self) -> Self {
-        let named = match (&self.named, &other.named) {
+        let allowed = match (&self.allowed, &other.allowed) {
             (Some(own), Some(others)) => Some(own.intersection(others).cloned().collect()),
             (own, others) => own.as_ref().or(others.as_ref()).cloned(),
         };
-        Self { named }
+        Self { allowed }
     }
 
-    /// Whether any region is as good as another.
+    /// Whether all regions are allowed.
     pub fn are_all(&self) -> bool {
-        self.named.is_none()
+        self.allowed.is_none()
     }
 
-    /// Whether no region is left.
+    /// Whether no region is allowed.
     pub fn is_empty(&self) -> bool {
-        self.named.as_ref().is_some_and(BTreeSet::is_empty)
+        self.allowed.as_ref().is_some_and(BTreeSet::is_empty)
     }
 
-    /// Whether work may be done in a region; where it is not known, only work that may be done anywhere.
+    /// Whether work is allowed in a region. An unknown region (`None`) is allowed only if all regions are.
     pub fn allow(&self, region: Option<&RegionName>) -> bool {
-        self.named.as_ref().is_none_or(|named| region.is_some_and(|region| named.contains(region)))
+        self.allowed.as_ref().is_none_or(|allowed| region.is_some_and(|region| allowed.contains(region)))
     }
 }
 
 impl fmt::Display for AllowedRegions {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(named) = &self.named else { return formatter.write_str("all") };
-        let names: Vec<&str> = named.iter().map(RegionName::as_str).collect();
+        let Some(allowed) = &self.allowed else { return formatter.write_str("all") };
+        let names: Vec<&str> = allowed.iter().map(RegionName::as_str).collect();
         formatter.write_str(&names.join(","))
     }
 }
--- a/crates/types/src/rendezvous.rs
+++ b/crates/types/src/rendezvous.rs
@@ -1,8 +1,8 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! Chosen over a hash ring because a member that leaves moves only its own keys and no ring has to be kept.
+//! Unlike a hash ring, it keeps no state, and a member that leaves moves only its own keys.
 
-/// Hashes parts of a key to a number that is the same on every machine and in every version.
+/// Hashes the parts of a key. The result is the same on every machine and in every version.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -14,7 +14,7 @@
     u64::from_le_bytes(first)
 }
 
-/// Orders candidates for a key, the first one being the preferred.
+/// Orders candidates by preference for a key, the most preferred first. `name` returns the bytes that identify one.
 pub fn rendezvous_order<T: Clone>(key: &[u8], candidates: &[T], name: impl Fn(&T) -> Vec<u8>) -> Vec<T> {
     let mut weighted: Vec<(u64, T)> = candidates
         .iter()
--- a/crates/types/src/result_code.rs
+++ b/crates/types/src/result_code.rs
@@ -1,38 +1,38 @@
 //! Numbered result codes.
 //!
-//! Numbers are stable: a code is never renumbered or reused. The hundreds give the family: 1 the request,
+//! Numbers are stable: a code is never renumbered or reused. The thousands digit gives the family: 1 the request,
 //! 2 identity and limits, 3 the program, 4 capacity and back ends, 5 the fleet, 6 the platform.
 
 use std::fmt;
 
 macro_rules! result_codes {
     ($($(#[$doc:meta])* $variant:ident = $number:literal, $status:literal, $title:literal;)+) => {
-        /// The numbered reason of a refusal or failure.
+        /// Numbered reason of a rejection or failure.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         pub enum ResultCode {
             $($(#[$doc])* $variant,)+
         }
 
         impl ResultCode {
-            /// Every code, in order of number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$variant,)+];
 
-            /// The stable number.
+            /// Stable number of the code.
             pub fn number(self) -> u32 {
                 match self { $(ResultCode::$variant => $number,)+ }
             }
 
-            /// The HTTP status that goes with the code.
+            /// HTTP status of responses with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(ResultCode::$variant => $status,)+ }
             }
 
-            /// Short title, the same in every language of the interface.
+            /// Short title, not localized.
             pub fn title(self) -> &'static str {
                 match self { $(ResultCode::$variant => $title,)+ }
             }
 
-            /// Finds a code by its number.
+            /// Looks up a code; `None` for unknown numbers.
             pub fn from_number(number: u32) -> Option<ResultCode> {
                 match number { $($number => Some(ResultCode::$variant),)+ _ => None }
             }
@@ -41,95 +41,95 @@
 }
 
 result_codes! {
-    /// The body is not JSON, or not the JSON that the endpoint takes.
+    /// The body is not valid JSON, or not what the endpoint expects.
     MalformedBody = 1001, 400, "Malformed request body";
-    /// The body is larger than the settings allow.
+    /// The body exceeds the configured size limit.
     BodyTooLarge = 1002, 413, "Request body too large";
-    /// A `Sumacdrift-*` header or `Idempotency-Key` is not well formed, or appears twice.
+    /// A `Sumacdrift-*` header or `Idempotency-Key` is malformed or repeated.
     InvalidHeader = 1003, 400, "Invalid header";
-    /// No pool of the configuration serves the model.
+    /// No configured pool serves the model.
     UnknownModel = 1004, 404, "Unknown model";
-    /// The path names nothing that exists.
+    /// The path doesn't exist.
     NotFound = 1005, 404, "Not found";
-    /// The body did not arrive in the time that the settings allow.
+    /// The body did not arrive within the configured time.
     RequestTooSlow = 1006, 408, "Request arrived too slowly";
-    /// The endpoint does not take this method.
+    /// The endpoint doesn't support the method.
     MethodNotAllowed = 1007, 405, "Method not allowed";
-    /// A request parameter has a value that is not supported.
+    /// A request parameter has an unsupported value.
     UnsupportedParameter = 1008, 400, "Unsupported parameter";
-    /// The request must carry an `Idempotency-Key`, since it may not be repeated.
+    /// The request is not safe to repeat and must carry an `Idempotency-Key`.
     IdempotencyKeyRequired = 1009, 400, "Idempotency key required";
-    /// No API key was given, or one that no tenant has.
+    /// The API key is missing or belongs to no tenant.
     Unauthenticated = 2001, 401, "Unknown API key";
-    /// The tenant may not use the pool or service.
+    /// The tenant is not allowed to use the pool or service.
     Forbidden = 2002, 403, "Not allowed for this tenant";
-    /// The tenant has as many calls under way as it may have.
+    /// The tenant has reached its limit of concurrent calls.
     TenantLimit = 2003, 429, "Tenant limit reached";
-    /// The tenant has made as many calls as its quota allows within the quota's window.
+    /// The tenant has used up its quota of calls for the current window.
     QuotaExceeded = 2004, 429, "Quota exceeded";
-    /// The turn is later than the next one and its predecessor did not come in time.
+    /// An earlier turn of the program is missing or did not end in time, or too many calls wait for it.
     TurnGap = 3001, 409, "Earlier turn is missing";
-    /// The turn was taken before with other content.
+    /// The turn was already accepted with different content.
     TurnContentDiffers = 3002, 409, "Turn was used with other content";
-    /// The messages do not begin with the recorded history.
+    /// The messages don't start with the recorded history.
     HistoryMismatch = 3003, 409, "Messages differ from the recorded history";
     /// The program has no budget left for the call.
     BudgetExhausted = 3004, 429, "Program budget exhausted";
-    /// The program was ended.
+    /// The program has ended.
     ProgramEnded = 3005, 410, "Program has ended";
-    /// The program belongs to another tenant, or does not exist.
+    /// The program doesn't exist or belongs to another tenant.
     UnknownProgram = 3006, 404, "Unknown program";
-    /// The idempotency key was used before with another request.
+    /// The idempotency key was already used with a different request.
     KeyContentDiffers = 3007, 409, "Idempotency key was used with other content";
-    /// An earlier request with the same key or turn is still under way.
+    /// An earlier request with the same key or turn is still in progress.
     InProgress = 3008, 409, "Same request is under way";
-    /// An earlier run of the request may have reached the back end and its answer is lost.
+    /// An earlier attempt of the request may have reached the back end, and its answer was lost.
     OutcomeUnknown = 3009, 409, "Outcome of an earlier run is unknown";
-    /// The parent program does not exist, has ended, or has no share left to give.
+    /// The parent program doesn't exist, has ended, or has no budget left to share.
     ParentUnavailable = 3010, 409, "Parent program unavailable";
-    /// There is no committed turn of that name that a later one could go on from.
+    /// No committed turn has the name that the call gives for its predecessor.
     UnknownPreviousTurn = 3011, 404, "Unknown earlier turn";
-    /// The queue for the pool is full or too slow for the call's deadline.
+    /// The pool's queue is full or too slow for the call's deadline.
     Overloaded = 4001, 503, "Overloaded";
-    /// No engine of the pool can be used.
+    /// No engine of the pool is usable.
     NoEngine = 4002, 503, "No engine available";
     /// The back end could not be reached; no byte of the request was sent.
     BackEndUnreachable = 4003, 502, "Back end unreachable";
-    /// The back end broke the connection after the request was sent.
+    /// The connection to the back end broke after the request was sent.
     BackEndCut = 4004, 502, "Back end cut the answer";
-    /// The back end answered something that is not the protocol.
+    /// The back end's answer violates the protocol.
     BackEndGarbage = 4005, 502, "Back end answered with garbage";
-    /// The back end refused the request.
+    /// The back end rejected the request or answered with an error.
     BackEndRefused = 4006, 502, "Back end refused the request";
     /// The deadline passed before the answer was complete.
     DeadlineExceeded = 4007, 504, "Deadline exceeded";
-    /// The retry budget forbids another attempt.
+    /// The retry budget allows no further attempt.
     RetryBudgetExhausted = 4008, 503, "Retry budget exhausted";
-    /// The call was cancelled because its caller left or its program was ended.
+    /// The call was cancelled because its caller disconnected or its program was ended.
     Cancelled = 4009, 499, "Cancelled";
-    /// No engine can be used in the regions in which the call may be served.
+    /// No engine is usable in the regions in which the call may be served.
     NoEngineInRegion = 4010, 503, "No engine in an allowed region";
-    /// There is no region in which both the route and the tenant allow the call to be served.
+    /// The route and the tenant allow no region in common.
     NoCommonRegion = 4011, 503, "No region is allowed";
-    /// A turn can't be kept only in the regions in which it may be: its ledger group has members elsewhere.
+    /// The turn can't be stored within the allowed regions only: its ledger group has replicas elsewhere.
     NotKeptInRegion = 4012, 503, "Can't be kept in an allowed region";
-    /// The node is stopping and takes no new work.
+    /// The node is shutting down and accepts no new work.
     NodeStopping = 5001, 503, "Node is stopping";
-    /// The program's shard has no leader at the moment.
+    /// The program's shard has no leader.
     NoLeader = 5002, 503, "Program state is between leaders";
     /// Another node could not be reached.
     PeerUnreachable = 5003, 503, "Peer node unreachable";
-    /// The state change could not be committed on a majority.
+    /// The state change could not be committed by a majority of replicas.
     NotCommitted = 5004, 503, "Change was not committed";
-    /// A defect in the system itself.
+    /// An internal error of the system.
     Internal = 5005, 500, "Internal error";
     /// No majority of the program ledger's replicas answered in time.
     LedgerUnavailable = 5006, 503, "Program ledger unavailable";
     /// No node that counts the tenant's calls answered in time.
     QuotaUnavailable = 5007, 503, "Quota can't be counted";
-    /// No configuration is in force on this node yet.
+    /// No configuration is active on the node yet.
     NoConfiguration = 6001, 503, "No configuration in force";
-    /// What this node knows of keys is so old that the caller's may have been withdrawn or added meanwhile.
+    /// The node's copy of the API keys is so old that the caller's key may have been revoked or added since.
     ConfigurationTooOld = 6002, 503, "Configuration too old";
 }
 
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,22 +1,22 @@
-//! Time as decision code sees it: microseconds on a monotonic clock that the driver supplies.
+//! Timestamps of a monotonic clock, passed to decision code by its driver.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 /// A point on the driver's monotonic clock, in microseconds since that clock's origin.
 ///
-/// Decision code never reads a clock. The node passes the time since its process started, the simulator
-/// passes virtual time.
+/// Decision code never reads a clock: the node passes the time since its process started, the simulator passes
+/// virtual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Time passed since `earlier`; zero where `earlier` lies in the future.
+    /// Time elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point as seconds since the clock's origin.
+    /// Seconds since the clock's origin.
     pub fn as_seconds(self) -> f64 {
         Duration::from_micros(self.0).as_secs_f64()
     }
--- a/crates/types/tests/mechanisms.rs
+++ b/crates/types/tests/mechanisms.rs
@@ -1,35 +1,37 @@
-//! Names of mechanisms, and sets of those that are switched off.
+//! Names of mechanisms, and sets of switched-off ones.
 
 use sumacdrift_types::{Mechanism, SwitchedOff, mechanism_names};
 
 #[test]
-fn every_name_is_read_as_it_is_written() {
+fn every_name_parses_to_its_mechanism_and_back() {
     for name in mechanism_names() {
-        let mechanism: Mechanism = name.parse().expect("a mechanism");
+        let mechanism: Mechanism = name.parse().expect("known mechanism");
         assert_eq!(mechanism.to_string(), name);
         let off: SwitchedOff = [mechanism].into_iter().collect();
-        let allowed = mechanism_names().filter(|other| off.allows(other.parse().expect("a mechanism")));
+        let allowed = mechanism_names().filter(|other| off.allows(other.parse().expect("known mechanism")));
         assert_eq!(allowed.count(), mechanism_names().count() - 1, "{name}");
     }
 }
 
 #[test]
-fn an_unknown_name_is_told_with_those_that_are_known() {
-    let error = "affinity".parse::<Mechanism>().expect_err("no such mechanism");
+fn the_error_for_an_unknown_name_lists_the_known_ones() {
+    let error = "affinity".parse::<Mechanism>().expect_err("unknown mechanism");
     let text = error.to_string();
     assert!(text.contains("affinity") && text.contains("held-prompts"), "{text}");
 }
 
 #[test]
 fn nothing_is_switched_off_by_default() {
-    assert!(mechanism_names().all(|name| SwitchedOff::default().allows(name.parse().expect("a mechanism"))));
+    assert!(
+        mechanism_names().all(|name| SwitchedOff::default().allows(name.parse().expect("known mechanism")))
+    );
 }
 
-/// The operators' page must know every switch.
+/// Guards against mechanisms that the operators' documentation lacks.
 #[test]
-fn every_name_stands_in_the_configuration_page() {
+fn every_name_is_in_the_configuration_page() {
     let page = include_str!("../../../docs/CONFIGURATION.md");
     for name in mechanism_names() {
-        assert!(page.contains(&format!("`{name}`")), "{name} is missing");
+        assert!(page.contains(&format!("`{name}`")), "{name} is not documented");
     }
 }
--- a/crates/types/tests/places.rs
+++ b/crates/types/tests/places.rs
@@ -1,20 +1,20 @@
-//! Zones, regions, and where work may be done.
+//! Nearness of zones, and sets of allowed regions.
 
 use std::sync::Arc;
 
 use sumacdrift_types::{AllowedRegions, Nearness, Places, RegionName};
 
 fn region(name: &str) -> RegionName {
-    RegionName::new(name).expect("a name")
+    RegionName::new(name).expect("valid name")
 }
 
 fn places() -> Places {
     let zones = [("e1", "east"), ("e2", "east"), ("w1", "west")];
-    Places::new(zones.map(|(zone, of)| (Arc::from(zone), region(of))))
+    Places::new(zones.map(|(zone, name)| (Arc::from(zone), region(name))))
 }
 
 #[test]
-fn zones_are_near_by_their_regions() {
+fn nearness_follows_zones_and_regions() {
     let places = places();
     assert_eq!(places.nearness("e1", "e1"), Nearness::Zone);
     assert_eq!(places.nearness("e1", "e2"), Nearness::Region);
@@ -23,12 +23,12 @@
     assert_eq!(
         Places::default().nearness("a", "b"),
         Nearness::Region,
-        "a fleet that names no regions is one"
+        "a fleet without configured regions is one region"
     );
 }
 
 #[test]
-fn work_is_done_where_both_allow_it() {
+fn the_intersection_allows_only_regions_that_both_sets_allow() {
     let (east, west) = (region("east"), region("west"));
     let both = AllowedRegions::only([east.clone(), west.clone()]);
     let anywhere = AllowedRegions::only([]);
