--- a/crates/routing/src/book/engine_table.rs
+++ b/crates/routing/src/book/engine_table.rs
@@ -1,194 +1,193 @@
-//! The engines of a book: those of which something is known that tells them from the others, and the rest, which are alike but for
-//! their zone. A fleet has thousands of engines and a node works with some dozens at a time, so a choice must not weigh all of them.
+//! Table of all engines, split into those with state of their own and groups of interchangeable ones. A fleet has
+//! thousands of engines of which a node uses dozens at a time, so a choice must not evaluate all of them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use sumacdrift_calls::EngineId;
 
-use crate::choice::mixed;
-use crate::engine::{AlikePlace, Engine};
+use crate::choice::rendezvous_hash;
+use crate::engine::{Engine, GroupPosition};
 
-/// Of engines that are alike, how many are weighed: the best one, and the next for the log.
-const FAVOURITES: usize = 2;
+/// Candidates per group: the best one, and the runner-up for the log.
+const PREFERRED_PER_GROUP: usize = 2;
 
-/// Engines of a service and zone of which nothing else is known.
+/// Engines of one service, zone and number of slots without state of their own.
 #[derive(Debug)]
-struct AlikeEngines {
+struct EngineGroup {
     service: Arc<str>,
     zone: Arc<str>,
     slots: usize,
-    /// Short names, apart from the names so that looking through them is fast.
+    /// Engine keys; apart from the ids, so that scanning them is fast.
     keys: Vec<u32>,
     ids: Vec<EngineId>,
 }
 
-impl AlikeEngines {
-    fn takes(&self, engine: &Engine) -> bool {
+impl EngineGroup {
+    fn accepts(&self, engine: &Engine) -> bool {
         let spec = &engine.spec;
         self.service == spec.service && self.zone == spec.zone && self.slots == spec.slots
     }
 
-    /// Rows of the engines that a call of this number prefers, the best first.
-    fn favourites(&self, call: u64, left_out: &[u32]) -> [Option<usize>; FAVOURITES] {
-        let mut best = [(u64::MAX, None); FAVOURITES];
-        for (row, key) in self.keys.iter().enumerate() {
-            let weight = mixed(call, *key);
-            if weight < best[1].0 && !left_out.contains(key) {
-                best[1] = (weight, Some(row));
+    /// Indexes of the engines that rank best for a call's key, the best first.
+    fn preferred(&self, call: u64, excluded: &[u32]) -> [Option<usize>; PREFERRED_PER_GROUP] {
+        let mut best = [(u64::MAX, None); PREFERRED_PER_GROUP];
+        for (index, key) in self.keys.iter().enumerate() {
+            let weight = rendezvous_hash(call, *key);
+            if weight < best[1].0 && !excluded.contains(key) {
+                best[1] = (weight, Some(index));
                 if best[1].0 < best[0].0 {
                     best.swap(0, 1);
                 }
             }
         }
-        best.map(|(_, row)| row)
+        best.map(|(_, index)| index)
     }
 }
 
-/// All engines that are known.
 #[derive(Debug, Default)]
 pub(crate) struct EngineTable {
-    noted: Engines,
-    alike: Engines,
-    alike_groups: Vec<AlikeEngines>,
+    distinct: Engines,
+    interchangeable: Engines,
+    groups: Vec<EngineGroup>,
     by_key: HashMap<u32, EngineId>,
 }
 
-/// Boxed, as a tree keeps almost half of its places empty.
+/// Boxed because B-tree nodes are almost half empty.
 type Engines = BTreeMap<EngineId, Box<Engine>>;
 
 impl EngineTable {
     pub(crate) fn len(&self) -> usize {
-        self.noted.len() + self.alike.len()
+        self.distinct.len() + self.interchangeable.len()
     }
 
     pub(crate) fn get(&self, id: &EngineId) -> Option<&Engine> {
-        self.noted.get(id).or_else(|| self.alike.get(id)).map(Box::as_ref)
+        self.distinct.get(id).or_else(|| self.interchangeable.get(id)).map(Box::as_ref)
     }
 
-    /// An engine about which something is learned: from now on it is one of those that differ.
+    /// Moves an interchangeable engine to those with state of their own, as the caller may change it.
     pub(crate) fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
-        if let Some((id, mut engine)) = self.alike.remove_entry(id) {
-            if let Some(place) = engine.alike.take() {
-                self.take_out(place);
+        if let Some((id, mut engine)) = self.interchangeable.remove_entry(id) {
+            if let Some(position) = engine.group_position.take() {
+                self.remove_from_group(position);
             }
-            self.noted.insert(id, engine);
+            self.distinct.insert(id, engine);
         }
-        self.noted.get_mut(id).map(Box::as_mut)
+        self.distinct.get_mut(id).map(Box::as_mut)
     }
 
-    /// The engine of a short name.
     pub(crate) fn id_of(&self, key: u32) -> Option<&EngineId> {
         self.by_key.get(&key)
     }
 
-    /// A new engine.
     pub(crate) fn insert(&mut self, engine: Engine) {
         let id = engine.spec.id.clone();
         self.by_key.insert(engine.key, id.clone());
-        self.noted.insert(id, Box::new(engine));
+        self.distinct.insert(id, Box::new(engine));
     }
 
     pub(crate) fn ids(&self) -> impl Iterator<Item = &EngineId> {
-        self.noted.keys().chain(self.alike.keys())
+        self.distinct.keys().chain(self.interchangeable.keys())
     }
 
-    /// All lives of an engine that are known.
-    pub(crate) fn lives(&self, id: &EngineId) -> impl Iterator<Item = &EngineId> {
-        lives_in(&self.noted, id).chain(lives_in(&self.alike, id))
+    /// All known incarnations of an engine.
+    pub(crate) fn incarnations(&self, id: &EngineId) -> impl Iterator<Item = &EngineId> {
+        incarnations_in(&self.distinct, id).chain(incarnations_in(&self.interchangeable, id))
     }
 
-    /// Engines of which something is known.
-    pub(crate) fn noted(&self) -> impl Iterator<Item = &Engine> {
-        self.noted.values().map(Box::as_ref)
+    /// Engines with state of their own.
+    pub(crate) fn distinct(&self) -> impl Iterator<Item = &Engine> {
+        self.distinct.values().map(Box::as_ref)
     }
 
-    /// Number of engines of a service of which nothing is known.
-    pub(crate) fn alike(&self, service: &str) -> usize {
-        self.alike_of(service).map(|alike| alike.ids.len()).sum()
+    /// Number of a service's interchangeable engines.
+    pub(crate) fn interchangeable(&self, service: &str) -> usize {
+        self.groups_of(service).map(|group| group.ids.len()).sum()
     }
 
-    /// Calls that engines of a service work on at once of which nothing is known, in zones of which something holds.
-    pub(crate) fn alike_slots(&self, service: &str, holds: impl Fn(&str) -> bool) -> usize {
-        let alike = self.alike_of(service).filter(|alike| holds(&alike.zone));
-        alike.map(|alike| alike.ids.len() * alike.slots).sum()
+    /// Slots of a service's interchangeable engines in the zones that match.
+    pub(crate) fn interchangeable_slots(&self, service: &str, matches_zone: impl Fn(&str) -> bool) -> usize {
+        let groups = self.groups_of(service).filter(|group| matches_zone(&group.zone));
+        groups.map(|group| group.ids.len() * group.slots).sum()
     }
 
-    /// Of the engines of a service of which nothing is known, those of each zone that a call of this number prefers, but for some.
-    pub(crate) fn favourites(
+    /// The best interchangeable engines of a service for a call's key, from each group, without excluded ones.
+    pub(crate) fn preferred(
         &self,
         service: &str,
         call: u64,
-        left_out: &[u32],
+        excluded: &[u32],
     ) -> impl Iterator<Item = &Engine> {
-        let rows = move |alike: &AlikeEngines| alike.favourites(call, left_out);
-        self.alike_of(service).flat_map(move |alike| {
-            let rows = rows(alike).into_iter().flatten();
-            rows.filter_map(|row| self.alike.get(&alike.ids[row]).map(Box::as_ref))
+        let indexes = move |group: &EngineGroup| group.preferred(call, excluded);
+        self.groups_of(service).flat_map(move |group| {
+            let indexes = indexes(group).into_iter().flatten();
+            indexes.filter_map(|index| self.interchangeable.get(&group.ids[index]).map(Box::as_ref))
         })
     }
 
-    fn alike_of(&self, service: &str) -> impl Iterator<Item = &AlikeEngines> {
-        self.alike_groups.iter().filter(move |alike| &*alike.service == service)
+    fn groups_of(&self, service: &str) -> impl Iterator<Item = &EngineGroup> {
+        self.groups.iter().filter(move |group| &*group.service == service)
     }
 
-    /// Counts engines among those that are alike again that fulfil a condition.
-    pub(crate) fn settle(&mut self, is_alike: impl Fn(&Engine) -> bool) {
-        let settled: Vec<EngineId> =
-            self.noted().filter(|engine| is_alike(engine)).map(|engine| engine.spec.id.clone()).collect();
-        for id in settled {
-            if let Some(engine) = self.noted.remove(&id) {
-                self.put_among_alike(id, engine);
+    /// Moves engines that match into groups of interchangeable ones.
+    pub(crate) fn regroup(&mut self, matches: impl Fn(&Engine) -> bool) {
+        let regrouped: Vec<EngineId> =
+            self.distinct().filter(|engine| matches(engine)).map(|engine| engine.spec.id.clone()).collect();
+        for id in regrouped {
+            if let Some(engine) = self.distinct.remove(&id) {
+                self.add_to_group(id, engine);
             }
         }
     }
 
-    /// Forgets engines, of those of which something is known.
-    pub(crate) fn forget(&mut self, is_gone: impl Fn(&Engine) -> bool) {
+    /// Removes engines that match, of those with state of their own.
+    pub(crate) fn remove_where(&mut self, matches: impl Fn(&Engine) -> bool) {
         let gone: Vec<(EngineId, u32)> = self
-            .noted()
-            .filter(|engine| is_gone(engine))
+            .distinct()
+            .filter(|engine| matches(engine))
             .map(|engine| (engine.spec.id.clone(), engine.key))
             .collect();
         for (id, key) in gone {
-            self.noted.remove(&id);
+            self.distinct.remove(&id);
             if self.by_key.get(&key) == Some(&id) {
                 self.by_key.remove(&key);
             }
         }
     }
 
-    fn put_among_alike(&mut self, id: EngineId, mut engine: Box<Engine>) {
-        let group = self.alike_groups.iter().position(|alike| alike.takes(&engine)).unwrap_or_else(|| {
-            self.alike_groups.push(AlikeEngines {
+    fn add_to_group(&mut self, id: EngineId, mut engine: Box<Engine>) {
+        let group = self.groups.iter().position(|existing| existing.accepts(&engine)).unwrap_or_else(|| {
+            self.groups.push(EngineGroup {
                 service: Arc::clone(&engine.spec.service),
                 zone: Arc::clone(&engine.spec.zone),
                 slots: engine.spec.slots,
                 keys: Vec::new(),
                 ids: Vec::new(),
             });
-            self.alike_groups.len() - 1
+            self.groups.len() - 1
         });
-        let alike = &mut self.alike_groups[group];
-        engine.outlier = None;
-        engine.alike = Some(AlikePlace { group, row: alike.ids.len() });
-        alike.keys.push(engine.key);
-        alike.ids.push(id.clone());
-        self.alike.insert(id, engine);
-    }
-
-    /// Takes a row out; the last one takes its place.
-    fn take_out(&mut self, place: AlikePlace) {
-        let alike = &mut self.alike_groups[place.group];
-        alike.keys.swap_remove(place.row);
-        alike.ids.swap_remove(place.row);
-        if let Some(moved) = alike.ids.get(place.row).and_then(|id| self.alike.get_mut(id)) {
-            moved.alike = Some(place);
+        let members = &mut self.groups[group];
+        engine.ejection = None;
+        engine.group_position = Some(GroupPosition { group, index: members.ids.len() });
+        members.keys.push(engine.key);
+        members.ids.push(id.clone());
+        self.interchangeable.insert(id, engine);
+    }
+
+    /// Swap-removes an engine from its group and updates the position of the one moved.
+    fn remove_from_group(&mut self, position: GroupPosition) {
+        let group = &mut self.groups[position.group];
+        group.keys.swap_remove(position.index);
+        group.ids.swap_remove(position.index);
+        if let Some(moved) = group.ids.get(position.index).and_then(|id| self.interchangeable.get_mut(id)) {
+            moved.group_position = Some(position);
         }
     }
 }
 
-fn lives_in<'a>(engines: &'a Engines, id: &EngineId) -> impl Iterator<Item = &'a EngineId> {
-    let lives = engines.range(EngineId::new(id.as_str())..);
-    lives.map(|(life, _)| life).take_while(move |life| life.is_same_engine(id))
+fn incarnations_in<'a>(engines: &'a Engines, id: &EngineId) -> impl Iterator<Item = &'a EngineId> {
+    let incarnations = engines.range(EngineId::new(id.as_str())..);
+    incarnations
+        .map(|(incarnation, _)| incarnation)
+        .take_while(move |incarnation| incarnation.is_same_engine(id))
 }
--- /dev/null
+++ b/crates/routing/src/book/incarnations.rs
@@ -0,0 +1,121 @@
+//! Directory entries and incarnations of engines.
+//!
+//! An incarnation is identified by the engine's name and start time. The one started later is the running one,
+//! whatever their report numbers; within one incarnation the report of the higher number is newer.
+
+use std::collections::HashSet;
+use std::time::Duration;
+
+use sumacdrift_calls::EngineId;
+use sumacdrift_types::Timestamp;
+
+use crate::book::EngineBook;
+use crate::engine::{Engine, EngineSpec};
+
+/// Shorter outages of the directory give no grace period to engines that are missing.
+const MIN_OUTAGE: Duration = Duration::from_secs(1);
+/// Time for engines to report again after an outage of the directory.
+const REPORT_GRACE: Duration = Duration::from_millis(1700);
+
+/// Effect of a directory entry.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum EntryChange {
+    /// Neither presence nor availability changed.
+    Nothing,
+    /// Presence or availability of the engine changed.
+    Changed,
+    /// A known engine restarted; state of its earlier incarnation does not apply.
+    StartedAgain,
+    /// An earlier incarnation than the known one is leaving.
+    EarlierLifeLeaves,
+}
+
+impl EngineBook {
+    /// Applies an engine's directory entry.
+    pub fn upsert(&mut self, mut spec: EngineSpec, now: Timestamp) -> EntryChange {
+        self.names.intern(&mut spec.service);
+        self.names.intern(&mut spec.zone);
+        let Some(known) = self.engines.incarnations(&spec.id).max().cloned() else {
+            self.insert(spec, now);
+            return EntryChange::Changed;
+        };
+        if self
+            .engines
+            .get(&spec.id)
+            .is_some_and(|engine| engine.group_position.is_some() && engine.spec == spec)
+        {
+            return EntryChange::Nothing;
+        }
+        if spec.id.start() < known.start() {
+            return self.apply_earlier_incarnation(&spec, &known, now);
+        }
+        if let Some(engine) = self.engines.get_mut(&spec.id) {
+            let has_changed = engine.update(spec, now);
+            return if has_changed { EntryChange::Changed } else { EntryChange::Nothing };
+        }
+        self.for_each_incarnation(&spec.id, |earlier| earlier.supersede(now));
+        self.insert(spec, now);
+        EntryChange::StartedAgain
+    }
+
+    fn insert(&mut self, spec: EngineSpec, now: Timestamp) {
+        self.engines.insert(Engine::new(spec, self.health, now));
+    }
+
+    /// An earlier incarnation never replaces a later one. If it is leaving, the engine gets no new work until the
+    /// later one reports again: the clock may have stepped back between the two.
+    fn apply_earlier_incarnation(
+        &mut self,
+        spec: &EngineSpec,
+        known: &EngineId,
+        now: Timestamp,
+    ) -> EntryChange {
+        let is_leaving = spec.is_leaving || !spec.id.start().is_known();
+        let engine = self.engines.get_mut(known).filter(|_| is_leaving);
+        match engine.map(|engine| engine.retire(now)) {
+            Some(true) => EntryChange::EarlierLifeLeaves,
+            Some(false) | None => EntryChange::Nothing,
+        }
+    }
+
+    /// Handles the removal of an engine's directory entry, whatever its incarnation; returns whether a usable engine
+    /// was affected.
+    pub fn remove(&mut self, id: &EngineId, now: Timestamp) -> bool {
+        let mut has_changed = false;
+        self.for_each_incarnation(id, |engine| has_changed |= engine.retire(now));
+        has_changed
+    }
+
+    /// Stops new work for an engine whose directory entry can't be parsed, even as a last resort, until a valid one
+    /// arrives; returns whether a usable engine was affected.
+    pub fn withdraw(&mut self, id: &EngineId, now: Timestamp) -> bool {
+        let mut has_changed = false;
+        self.for_each_incarnation(id, |engine| has_changed |= engine.withdraw(now));
+        has_changed
+    }
+
+    /// Applies a complete listing of the directory; engines that are missing from it are gone.
+    ///
+    /// After an outage, engines may be missing because they could not report. They stay usable for a grace period.
+    pub fn replace_all(&mut self, specs: Vec<EngineSpec>, outage: Duration, now: Timestamp) {
+        let grace = if outage >= MIN_OUTAGE { REPORT_GRACE } else { Duration::ZERO };
+        let listed: HashSet<&str> = specs.iter().map(|spec| spec.id.as_str()).collect();
+        let missing = self.engines.ids().filter(|id| !listed.contains(id.as_str()));
+        for id in missing.cloned().collect::<Vec<_>>() {
+            if let Some(engine) = self.engines.get_mut(&id) {
+                engine.retire(now + grace);
+            }
+        }
+        for spec in specs {
+            self.upsert(spec, now);
+        }
+    }
+
+    fn for_each_incarnation(&mut self, id: &EngineId, mut change: impl FnMut(&mut Engine)) {
+        for incarnation in self.engines.incarnations(id).cloned().collect::<Vec<_>>() {
+            if let Some(engine) = self.engines.get_mut(&incarnation) {
+                change(engine);
+            }
+        }
+    }
+}
--- a/crates/routing/src/book/outliers.rs
+++ b/crates/routing/src/book/outliers.rs
@@ -1,4 +1,4 @@
-//! Engines that fail a part of the fleet's calls: what is told of them, and when they are put aside.
+//! Evaluation of engines for outlier ejection, and the failure counts reported to peers.
 
 use std::sync::Arc;
 
@@ -6,121 +6,122 @@
 use sumacdrift_types::{Mechanism, Timestamp};
 
 use super::EngineBook;
-use crate::ejection::OutlierWatch;
+use crate::ejection::EjectionState;
 use crate::engine::Engine;
-use crate::outlier::{JudgedEngine, OutlierChange, OutlierChangeKind, Stage, Verdict, judge};
+use crate::outlier::{EjectionStage, EngineSample, OutlierChange, OutlierChangeKind, Verdict, evaluate};
 use crate::recent_calls::CallCounts;
 
 impl EngineBook {
-    /// Puts engines aside that are outliers by now, and brings back those whose time is over; returns what changed. To be
-    /// asked when a call failed, when others told of their calls, and now and then.
+    /// Ejects outliers and ends ejections that are over; returns the changes. To be called after a failure, after a
+    /// peer report and periodically.
     pub fn judge_outliers(&mut self, now: Timestamp) -> Vec<OutlierChange> {
         if !self.off.allows(Mechanism::OutlierEjection) {
             return Vec::new();
         }
-        let services = self.services_to_judge(now);
-        services.iter().flat_map(|service| self.judge_service(service, now)).collect()
+        let services = self.services_to_evaluate(now);
+        services.iter().flat_map(|service| self.evaluate_service(service, now)).collect()
     }
 
-    /// Number of engines that do not get their usual share as they failed too much.
+    /// Number of engines that are ejected or recovering.
     pub fn engines_put_aside(&self, now: Timestamp) -> usize {
         self.engines
-            .noted()
-            .filter(|engine| matches!(stage(engine, now), Stage::Aside | Stage::Returning(_)))
+            .distinct()
+            .filter(|engine| {
+                matches!(stage(engine, now), EjectionStage::Ejected | EjectionStage::Recovering(_))
+            })
             .count()
     }
 
-    /// This node's calls of late at an engine, as others are told of them: where any node's failed.
-    pub(super) fn recent_calls_to_tell(&self, engine: &Engine, now: Timestamp) -> CallCounts {
+    /// This node's recent calls at an engine for its load report; empty unless some node's calls failed.
+    pub(super) fn recent_calls_to_report(&self, engine: &Engine, now: Timestamp) -> CallCounts {
         let own = engine.recent_calls(now);
-        let others_fail = self.others_told.age(now).is_some() && engine.others.some_fail();
-        let any_failed = own.failed > 0 || others_fail;
+        let peers_report_failures = self.peer_reports.age(now).is_some() && engine.peer_load.has_failures();
+        let any_failed = own.failed > 0 || peers_report_failures;
         if any_failed { own } else { CallCounts::default() }
     }
 
-    fn recent_calls_of_others(&self, engine: &Engine, now: Timestamp) -> CallCounts {
-        self.others_told.age(now).map_or(CallCounts::default(), |_| engine.others.recent(now))
+    fn recent_peer_calls(&self, engine: &Engine, now: Timestamp) -> CallCounts {
+        self.peer_reports.age(now).map_or(CallCounts::default(), |_| engine.peer_load.recent(now))
     }
 
-    /// Calls of all nodes.
+    /// Recent calls of all nodes.
     fn recent_calls(&self, engine: &Engine, now: Timestamp) -> CallCounts {
-        engine.recent_calls(now) + self.recent_calls_of_others(engine, now)
+        engine.recent_calls(now) + self.recent_peer_calls(engine, now)
     }
 
-    /// Services with an engine where calls failed of late, or that is put aside.
-    fn services_to_judge(&self, now: Timestamp) -> Vec<Arc<str>> {
+    /// Services with recent failures or an engine kept from its full share.
+    fn services_to_evaluate(&self, now: Timestamp) -> Vec<Arc<str>> {
         let mut services: Vec<Arc<str>> = Vec::new();
-        for engine in self.engines.noted() {
-            let is_out = engine.outlier.as_ref().is_some_and(|watch| watch.is_out());
-            let is_concerned = is_out || self.recent_calls(engine, now).failed > 0;
-            if is_concerned && !services.contains(&engine.spec.service) {
+        for engine in self.engines.distinct() {
+            let is_restricted = engine.ejection.as_ref().is_some_and(|ejection| ejection.is_restricted());
+            let needs_evaluation = is_restricted || self.recent_calls(engine, now).failed > 0;
+            if needs_evaluation && !services.contains(&engine.spec.service) {
                 services.push(Arc::clone(&engine.spec.service));
             }
         }
         services
     }
 
-    fn judge_service(&mut self, service: &str, now: Timestamp) -> Vec<OutlierChange> {
-        let (ids, judged): (Vec<EngineId>, Vec<JudgedEngine>) = self
+    fn evaluate_service(&mut self, service: &str, now: Timestamp) -> Vec<OutlierChange> {
+        let (ids, samples): (Vec<EngineId>, Vec<EngineSample>) = self
             .engines
-            .noted()
+            .distinct()
             .filter(|engine| &*engine.spec.service == service && engine.is_usable(now))
-            .filter(|engine| self.counts_in_service(engine, now))
-            .map(|engine| (engine.spec.id.clone(), self.judged(engine, now)))
+            .filter(|engine| self.is_counted(engine, now))
+            .map(|engine| (engine.spec.id.clone(), self.sample(engine, now)))
             .unzip();
-        let judgements = judge(&judged);
-        let all = ids.into_iter().zip(judged.iter().zip(judgements));
-        let changes = all.filter_map(|(engine, (judged_engine, judgement))| {
-            let kind = self.carry_out(&engine, judgement.verdict, judged.len(), now)?;
-            let news_age = self.others_told.age(now);
-            let (calls, rest_rate) = (judged_engine.calls, judgement.rest_rate);
+        let evaluations = evaluate(&samples);
+        let all = ids.into_iter().zip(samples.iter().zip(evaluations));
+        let changes = all.filter_map(|(engine, (sample, evaluation))| {
+            let kind = self.apply_verdict(&engine, evaluation.verdict, samples.len(), now)?;
+            let news_age = self.peer_reports.age(now);
+            let (calls, rest_rate) = (sample.calls, evaluation.rest_rate);
             Some(OutlierChange { engine, kind, calls, rest_rate, news_age })
         });
         changes.collect()
     }
 
-    fn judged(&self, engine: &Engine, now: Timestamp) -> JudgedEngine {
-        JudgedEngine {
+    fn sample(&self, engine: &Engine, now: Timestamp) -> EngineSample {
+        EngineSample {
             calls: self.recent_calls(engine, now),
             stage: stage(engine, now),
-            is_avoided: self.others_told.age(now).is_some() && engine.others.fails(),
+            is_avoided: self.peer_reports.age(now).is_some() && engine.peer_load.is_failing(),
         }
     }
 
-    /// Whether an engine is in use, or would be if it were not put aside. A service may have thousands of engines and use some
-    /// dozens: the others say nothing of how usual failures are.
-    fn counts_in_service(&self, engine: &Engine, now: Timestamp) -> bool {
-        let is_watched = |watch: &OutlierWatch| watch.is_out() || watch.is_in_use(now);
-        engine.outlier.as_deref().is_some_and(is_watched) || self.recent_calls(engine, now).ended > 0
+    /// Whether an engine is in use, or would be if it were not ejected. A service may have thousands of engines and
+    /// use dozens: the unused ones say nothing about the usual failure rate.
+    fn is_counted(&self, engine: &Engine, now: Timestamp) -> bool {
+        let is_active = |ejection: &EjectionState| ejection.is_restricted() || ejection.is_in_use(now);
+        engine.ejection.as_deref().is_some_and(is_active) || self.recent_calls(engine, now).ended > 0
     }
 
-    fn carry_out(
+    fn apply_verdict(
         &mut self,
         id: &EngineId,
         verdict: Verdict,
-        among: usize,
+        engines_in_use: usize,
         now: Timestamp,
     ) -> Option<OutlierChangeKind> {
-        let watch = &mut self.engines.get_mut(id)?.outlier;
+        let ejection = &mut self.engines.get_mut(id)?.ejection;
         match verdict {
-            Verdict::PutAside => {
-                let pause = watch.get_or_insert_default().put_aside(among, now);
+            Verdict::Eject => {
+                let pause = ejection.get_or_insert_default().eject(engines_in_use, now);
                 Some(OutlierChangeKind::PutAside { pause })
             }
-            Verdict::Released => {
-                watch.as_mut()?.spare(now);
+            Verdict::Release => {
+                ejection.as_mut()?.exempt(now);
                 Some(OutlierChangeKind::Released)
             }
-            Verdict::Stays => watch.as_mut()?.take_return(now).then_some(OutlierChangeKind::BroughtBack),
+            Verdict::Keep => ejection.as_mut()?.take_recovery(now).then_some(OutlierChangeKind::BroughtBack),
         }
     }
 }
 
-/// Whether an engine gets nothing for now as it failed too much.
-pub(super) fn is_put_aside(engine: &Engine, now: Timestamp) -> bool {
-    stage(engine, now) == Stage::Aside
+pub(super) fn is_ejected(engine: &Engine, now: Timestamp) -> bool {
+    stage(engine, now) == EjectionStage::Ejected
 }
 
-fn stage(engine: &Engine, now: Timestamp) -> Stage {
-    engine.outlier.as_ref().map_or(Stage::In, |watch| watch.stage(now))
+fn stage(engine: &Engine, now: Timestamp) -> EjectionStage {
+    engine.ejection.as_ref().map_or(EjectionStage::Active, |ejection| ejection.stage(now))
 }
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -1,135 +1,132 @@
-//! What one node keeps of one engine's failures: its recent calls there, and the time for which the engine is put aside.
+//! This node's ejection state of one engine: its recent calls there and the current or last ejection.
 
 use std::time::Duration;
 
 use sumacdrift_types::Timestamp;
 
-use crate::choice::drawn;
-use crate::outlier::Stage;
+use crate::choice::rendezvous_fraction;
+use crate::outlier::EjectionStage;
 use crate::recent_calls::RecentCalls;
 
-/// First time for which an engine is put aside; it doubles each time. Longer than counts of before can still be on
-/// their way: the recent time (1.6 s), a board's memory (1 s) and the age of news.
-pub const FIRST_ASIDE: Duration = Duration::from_secs(3);
-/// Longest time for which an engine is put aside.
-pub const LONGEST_ASIDE: Duration = Duration::from_secs(24);
-/// Part of an engine's usual share of calls that may go there at first after that time. From step to step it grows by equal
-/// factors until all calls may: which of them choose an engine with nothing to do is between one in all engines and each.
-const FIRST_RETURN_SHARE: f64 = 0.5;
-const RETURN_STEPS: u32 = 4;
-/// How long a step takes: news of failures must arrive within it.
-const RETURN_STEP: Duration = Duration::from_millis(750);
-/// How long the return takes in all.
-pub const RETURN_TIME: Duration = RETURN_STEP.saturating_mul(RETURN_STEPS);
-/// How long after its return an engine is put aside for longer if it fails again.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
-/// How long engines are spared after more of them failed than may be put aside.
-const SPARED_FOR: Duration = Duration::from_secs(30);
-/// How long an engine counts as in use after a call was under way there.
-const IN_USE_FOR: Duration = Duration::from_secs(5);
-/// Makes the calls that a returning engine gets independent of the calls that prefer it.
-const RETURN_SALT: u64 = 0x6f75_746c_6965_7273;
-
-/// The time for which an engine was put aside last.
+/// Duration of the first ejection; doubled each time. Longer than counts from before it can stay in circulation: the
+/// window of recent calls (1.6 s), a board's retention (1 s) and the delay of peer reports.
+pub const FIRST_EJECTION_TIME: Duration = Duration::from_secs(3);
+/// Upper bound of the doubled durations.
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(24);
+/// Fraction of an engine's fair share that is admitted in the first recovery step. The admitted fraction of all calls
+/// grows geometrically from `FIRST_RECOVERY_SHARE / engines_in_use` to 1.
+const FIRST_RECOVERY_SHARE: f64 = 0.5;
+const RECOVERY_STEPS: u32 = 4;
+/// Reports of failures must arrive within one step.
+const RECOVERY_STEP_TIME: Duration = Duration::from_millis(750);
+/// Total duration of the recovery.
+pub const RECOVERY_TIME: Duration = RECOVERY_STEP_TIME.saturating_mul(RECOVERY_STEPS);
+/// How long after the recovery another ejection still doubles in length.
+const BACKOFF_MEMORY: Duration = Duration::from_secs(60);
+/// How long engines are exempt after more of them failed than may be ejected.
+const EXEMPTION_TIME: Duration = Duration::from_secs(30);
+/// How long an engine counts as in use after its last call.
+const IN_USE_TIME: Duration = Duration::from_secs(5);
+/// Decorrelates admission to a recovering engine from the calls' engine preference.
+const RECOVERY_SALT: u64 = 0x6f75_746c_6965_7273;
+
+/// The current or last ejection of an engine.
 #[derive(Debug, Clone, Copy)]
 struct Ejection {
     until: Timestamp,
     pause: Duration,
-    /// Engines of the service that were in use.
-    among: usize,
-    /// Whether its return was told.
-    is_over: bool,
+    engines_in_use: usize,
+    is_recovery_reported: bool,
 }
 
 impl Ejection {
-    fn stage(&self, now: Timestamp) -> Stage {
+    fn stage(&self, now: Timestamp) -> EjectionStage {
         if now < self.until {
-            return Stage::Aside;
+            return EjectionStage::Ejected;
         }
-        let step = now.since(self.until).as_micros() / RETURN_STEP.as_micros();
+        let step = now.since(self.until).as_micros() / RECOVERY_STEP_TIME.as_micros();
         let step = u32::try_from(step).unwrap_or(u32::MAX);
-        if step < RETURN_STEPS { Stage::Returning(step) } else { Stage::In }
+        if step < RECOVERY_STEPS { EjectionStage::Recovering(step) } else { EjectionStage::Active }
     }
 
-    fn is_remembered(&self, now: Timestamp) -> bool {
-        now < self.until + RETURN_TIME + REMEMBERED_FOR
+    fn extends_backoff(&self, now: Timestamp) -> bool {
+        now < self.until + RECOVERY_TIME + BACKOFF_MEMORY
     }
 }
 
-/// What one node keeps of one engine's failures.
 #[derive(Debug, Default)]
-pub(crate) struct OutlierWatch {
+pub(crate) struct EjectionState {
     /// Calls of this node.
     pub(crate) recent: RecentCalls,
-    /// When a call of any node was last known to be under way there.
+    /// When any node last had a call in flight there, as far as known.
     pub(crate) used_at: Option<Timestamp>,
     ejection: Option<Ejection>,
-    spared_until: Option<Timestamp>,
+    exempt_until: Option<Timestamp>,
 }
 
-impl OutlierWatch {
-    /// Where the engine stands.
-    pub(crate) fn stage(&self, now: Timestamp) -> Stage {
-        if self.is_spared(now) {
-            return Stage::Spared;
+impl EjectionState {
+    pub(crate) fn stage(&self, now: Timestamp) -> EjectionStage {
+        if self.is_exempt(now) {
+            return EjectionStage::Exempt;
         }
-        self.ejection.map_or(Stage::In, |ejection| ejection.stage(now))
+        self.ejection.map_or(EjectionStage::Active, |ejection| ejection.stage(now))
     }
 
-    /// Whether nothing is left to remember.
+    /// Whether there is no state left that must be kept.
     pub(crate) fn is_settled(&self, now: Timestamp) -> bool {
-        let is_forgotten = self.ejection.is_none_or(|ejection| !ejection.is_remembered(now));
-        is_forgotten && !self.is_spared(now) && self.recent.counts(now).failed == 0
+        let is_backoff_over = self.ejection.is_none_or(|ejection| !ejection.extends_backoff(now));
+        is_backoff_over && !self.is_exempt(now) && self.recent.counts(now).failed == 0
     }
 
-    /// Whether a call of this number may go there, while so many of this node are under way there.
+    /// Whether a call may be sent to the engine while this node has `running` calls in flight there.
     pub(crate) fn admits(&self, call: u64, engine: u32, running: usize, now: Timestamp) -> bool {
         let Some(ejection) = self.ejection else { return true };
         match ejection.stage(now) {
-            Stage::In | Stage::Spared => true,
-            Stage::Aside => false,
-            Stage::Returning(0) if running > 0 => false,
-            Stage::Returning(step) => {
-                let first_share = FIRST_RETURN_SHARE / ejection.among.max(1) as f64;
-                let share = first_share.powf(1.0 - f64::from(step) / f64::from(RETURN_STEPS));
-                drawn(call ^ RETURN_SALT, engine) < share
+            EjectionStage::Active | EjectionStage::Exempt => true,
+            EjectionStage::Ejected => false,
+            EjectionStage::Recovering(0) if running > 0 => false,
+            EjectionStage::Recovering(step) => {
+                let first_share = FIRST_RECOVERY_SHARE / ejection.engines_in_use.max(1) as f64;
+                let share = first_share.powf(1.0 - f64::from(step) / f64::from(RECOVERY_STEPS));
+                rendezvous_fraction(call ^ RECOVERY_SALT, engine) < share
             }
         }
     }
 
-    /// Puts the engine aside, one of so many in use; returns for how long.
-    pub(crate) fn put_aside(&mut self, among: usize, now: Timestamp) -> Duration {
-        let before = self.ejection.filter(|before| before.is_remembered(now));
-        let pause = before.map_or(FIRST_ASIDE, |before| (before.pause * 2).min(LONGEST_ASIDE));
-        self.ejection = Some(Ejection { until: now + pause, pause, among, is_over: false });
+    /// Ejects the engine, one of `engines_in_use`; returns for how long.
+    pub(crate) fn eject(&mut self, engines_in_use: usize, now: Timestamp) -> Duration {
+        let previous = self.ejection.filter(|previous| previous.extends_backoff(now));
+        let pause =
+            previous.map_or(FIRST_EJECTION_TIME, |previous| (previous.pause * 2).min(MAX_EJECTION_TIME));
+        self.ejection =
+            Some(Ejection { until: now + pause, pause, engines_in_use, is_recovery_reported: false });
         pause
     }
 
-    /// The engine gets its calls again at once, and keeps them for a time.
-    pub(crate) fn spare(&mut self, now: Timestamp) {
+    /// Ends the ejection and exempts the engine from another one for a time.
+    pub(crate) fn exempt(&mut self, now: Timestamp) {
         self.ejection = None;
-        self.spared_until = Some(now + SPARED_FOR);
+        self.exempt_until = Some(now + EXEMPTION_TIME);
     }
 
-    /// Whether any node had calls there of late.
     pub(crate) fn is_in_use(&self, now: Timestamp) -> bool {
-        self.used_at.is_some_and(|used| now.since(used) < IN_USE_FOR)
+        self.used_at.is_some_and(|used| now.since(used) < IN_USE_TIME)
     }
 
-    fn is_spared(&self, now: Timestamp) -> bool {
-        self.spared_until.is_some_and(|until| now < until)
+    fn is_exempt(&self, now: Timestamp) -> bool {
+        self.exempt_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the engine has come back by now and nobody was told.
-    pub(crate) fn take_return(&mut self, now: Timestamp) -> bool {
+    /// Returns whether the recovery is complete, once for each ejection.
+    pub(crate) fn take_recovery(&mut self, now: Timestamp) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
-        let has_returned = ejection.stage(now) == Stage::In && !ejection.is_over;
-        ejection.is_over |= has_returned;
-        has_returned
+        let has_recovered = ejection.stage(now) == EjectionStage::Active && !ejection.is_recovery_reported;
+        ejection.is_recovery_reported |= has_recovered;
+        has_recovered
     }
 
-    /// Whether the engine is put aside, is being brought back, or has come back and nobody was told.
-    pub(crate) fn is_out(&self) -> bool {
-        self.ejection.is_some_and(|ejection| !ejection.is_over)
+    /// Whether the engine is ejected or recovering, or its recovery has not been reported yet.
+    pub(crate) fn is_restricted(&self) -> bool {
+        self.ejection.is_some_and(|ejection| !ejection.is_recovery_reported)
     }
 }
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -1,4 +1,4 @@
-//! One engine and what is believed of it.
+//! One engine and the state this node tracks for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,202 +9,195 @@
 use sumacdrift_scheduling::{Health, HealthSettings};
 use sumacdrift_types::Timestamp;
 
-use crate::cold::Coldness;
-use crate::ejection::OutlierWatch;
-use crate::others::OtherLoad;
+use crate::cold::ColdState;
+use crate::ejection::EjectionState;
+use crate::peer_load::PeerLoad;
 use crate::recent_calls::CallCounts;
 use crate::slowness::Slowness;
 
-/// An engine as the directory describes it.
+/// An engine's entry in the directory.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Its life.
+    /// Identifies one incarnation of the engine.
     pub id: EngineId,
-    /// Its service.
     pub service: Arc<str>,
-    /// Its address.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: Arc<str>,
-    /// Calls that it works on at once.
+    /// Number of calls the engine processes concurrently.
     pub slots: usize,
-    /// Whether it said that it takes no new work.
+    /// Whether the engine is draining and accepts no new work.
     pub is_leaving: bool,
-    /// How much longer it is cold, as it said.
+    /// Remaining warm-up time at the time of the report.
     pub cold_left: Duration,
-    /// Number of the engine's report that said so; later ones are higher.
+    /// Sequence number of the engine's report; higher is newer.
     pub report: u64,
 }
 
-/// How a call at an engine ended, as far as it shows the engine's health.
+/// Outcome of a call, as far as it shows the engine's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Well, or by the caller's doing.
+    /// Success, or an error caused by the caller.
     Sound,
-    /// It turned the call away.
+    /// The engine rejected the call.
     Busy,
-    /// By the engine's fault.
+    /// An error caused by the engine.
     Faulty,
-    /// It could not be reached.
+    /// No connection to the engine.
     Unreachable,
 }
 
-/// An engine and what is believed of it.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) spec: EngineSpec,
     pub(crate) key: u32,
-    /// Calls of this node under way there.
+    /// This node's calls in flight.
     pub(crate) running: usize,
-    /// Tokens of their prompts that are still to be read.
+    /// Prompt tokens of these calls that the engine has not prefilled yet.
     pub(crate) unread_tokens: u64,
     pub(crate) health: Health,
     pub(crate) unusable_since: Option<Timestamp>,
-    /// Whether it gets nothing at all until its entry is there again.
+    /// Whether the engine may not even be used as a last resort until its entry reappears.
     is_withdrawn: bool,
-    pub(crate) coldness: Coldness,
+    pub(crate) cold_state: ColdState,
     slowness: Slowness,
-    last_end: Option<LastEnd>,
-    /// How many of its calls failed of late, and whether it is put aside for that; `None` where it had no calls of late.
-    pub(crate) outlier: Option<Box<OutlierWatch>>,
-    /// What other nodes told last of their calls there.
-    pub(crate) others: OtherLoad,
-    /// Its place among the engines of which nothing is known, where it is one of them.
-    pub(crate) alike: Option<AlikePlace>,
+    last_outcome: Option<LastOutcome>,
+    /// Recent failures and ejection; `None` if there were no recent calls.
+    pub(crate) ejection: Option<Box<EjectionState>>,
+    pub(crate) peer_load: PeerLoad,
+    /// Set if the engine is in a group of interchangeable ones.
+    pub(crate) group_position: Option<GroupPosition>,
 }
 
-/// A place among engines of which nothing is known.
+/// Position in a group of interchangeable engines.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct AlikePlace {
-    /// The engines that are alike.
+pub(crate) struct GroupPosition {
     pub(crate) group: usize,
-    /// The row among them.
-    pub(crate) row: usize,
+    pub(crate) index: usize,
 }
 
-/// How calls of this node at an engine ended last.
+/// Last outcome of this node's calls at an engine.
 #[derive(Debug, Clone, Copy)]
-struct LastEnd {
+struct LastOutcome {
     at: Timestamp,
-    failed_in_a_row: u32,
+    consecutive_failures: u32,
 }
 
-/// How long an engine that left the directory may still be used where no other is left.
+/// How long an engine that left the directory may be used if there is no other.
 const LAST_RESORT_TIME: Duration = Duration::from_millis(1200);
-/// How long the end of a call says something to others.
-const END_COUNTS_FOR: Duration = Duration::from_secs(2);
+/// How long the last outcome is reported to peers.
+const OUTCOME_VALIDITY: Duration = Duration::from_secs(2);
 
 impl Engine {
     pub(crate) fn new(spec: EngineSpec, health: HealthSettings, now: Timestamp) -> Self {
-        let mut coldness = Coldness::default();
-        coldness.told(spec.cold_left, now);
+        let mut cold_state = ColdState::default();
+        cold_state.record_report(spec.cold_left, now);
         Self {
-            coldness,
+            cold_state,
             key: engine_key(&spec.id.life_text()),
             running: 0,
             unread_tokens: 0,
             health: Health::new(health),
             unusable_since: spec.is_leaving.then_some(now),
             is_withdrawn: false,
-            slowness: Slowness::usual(now),
-            last_end: None,
-            outlier: None,
-            others: OtherLoad::default(),
-            alike: None,
+            slowness: Slowness::nominal(now),
+            last_outcome: None,
+            ejection: None,
+            peer_load: PeerLoad::default(),
+            group_position: None,
             spec,
         }
     }
 
-    /// Whether nothing is known of it that tells it from others of its service and zone.
-    pub(crate) fn is_like_others(&self, now: Timestamp) -> bool {
-        let is_idle = self.running == 0 && self.unread_tokens == 0 && self.others == OtherLoad::default();
-        let is_usable = self.unusable_since.is_none() && !self.is_withdrawn && !self.coldness.is_cold(now);
-        let is_sound = self.health.is_settled(now) && self.failed_of_late(now).is_none();
-        let is_no_outlier = self.outlier.as_ref().is_none_or(|watch| watch.is_settled(now));
-        is_idle && is_usable && is_sound && is_no_outlier && self.slowness.is_usual(now)
+    /// Whether the engine has no state that distinguishes it from others of its service and zone.
+    pub(crate) fn is_interchangeable(&self, now: Timestamp) -> bool {
+        let is_idle = self.running == 0 && self.unread_tokens == 0 && self.peer_load == PeerLoad::default();
+        let is_usable = self.unusable_since.is_none() && !self.is_withdrawn && !self.cold_state.is_cold(now);
+        let is_healthy = self.health.is_settled(now) && self.recent_failures(now).is_none();
+        let is_ejection_settled = self.ejection.as_ref().is_none_or(|ejection| ejection.is_settled(now));
+        is_idle && is_usable && is_healthy && is_ejection_settled && self.slowness.is_nominal(now)
     }
 
-    /// Whether it takes new work.
+    /// Whether the engine accepts new work.
     pub(crate) fn is_usable(&self, now: Timestamp) -> bool {
         self.unusable_since.is_none_or(|since| since > now)
     }
 
-    /// Whether its calls end well.
-    pub(crate) fn is_sound(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_healthy(&self, now: Timestamp) -> bool {
         self.health.allowed(self.spec.slots, now) > 0
     }
 
-    /// A call of this node ended there.
-    pub(crate) fn call_ended(&mut self, outcome: Outcome, now: Timestamp) {
+    /// Records the outcome of one of this node's calls.
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
         match outcome {
             Outcome::Sound => self.health.succeeded(now),
             Outcome::Busy => return,
             Outcome::Faulty | Outcome::Unreachable => self.health.failed(now),
         }
-        self.outlier.get_or_insert_default().recent.note(outcome != Outcome::Sound, now);
-        let before = self.last_end.map_or(0, |end| end.failed_in_a_row);
-        let failed_in_a_row = if outcome == Outcome::Sound { 0 } else { before + 1 };
-        self.last_end = Some(LastEnd { at: now, failed_in_a_row });
+        self.ejection.get_or_insert_default().recent.record(outcome != Outcome::Sound, now);
+        let previous = self.last_outcome.map_or(0, |last| last.consecutive_failures);
+        let consecutive_failures = if outcome == Outcome::Sound { 0 } else { previous + 1 };
+        self.last_outcome = Some(LastOutcome { at: now, consecutive_failures });
     }
 
-    /// Calls of this node that failed there a moment ago; `None` where none ended of late.
-    pub(crate) fn failed_of_late(&self, now: Timestamp) -> Option<u32> {
-        let end = self.last_end.filter(|end| now.since(end.at) < END_COUNTS_FOR)?;
-        Some(end.failed_in_a_row)
+    /// Consecutive failures of this node's last calls; `None` if none ended recently.
+    pub(crate) fn recent_failures(&self, now: Timestamp) -> Option<u32> {
+        let last = self.last_outcome.filter(|last| now.since(last.at) < OUTCOME_VALIDITY)?;
+        Some(last.consecutive_failures)
     }
 
-    /// Notes that a call of some node is under way there.
-    pub(crate) fn note_use(&mut self, now: Timestamp) {
-        self.outlier.get_or_insert_default().used_at = Some(now);
+    /// Records that some node has a call in flight at the engine.
+    pub(crate) fn record_use(&mut self, now: Timestamp) {
+        self.ejection.get_or_insert_default().used_at = Some(now);
     }
 
-    /// Calls of this node that ended there of late.
+    /// This node's calls that ended recently.
     pub(crate) fn recent_calls(&self, now: Timestamp) -> CallCounts {
-        self.outlier.as_ref().map_or(CallCounts::default(), |watch| watch.recent.counts(now))
+        self.ejection.as_ref().map_or(CallCounts::default(), |ejection| ejection.recent.counts(now))
     }
 
-    /// How many times longer than usual for its service it takes.
+    /// How many times longer than usual for its service the engine takes.
     pub(crate) fn slowness(&self, now: Timestamp) -> f64 {
-        self.slowness.now(now)
+        self.slowness.value_at(now)
     }
 
-    /// A call took so many times longer than usual, among ones that differ by `noise` from one to the next.
+    /// Updates the slowness from one call; `noise` is the variance from call to call.
     pub(crate) fn observe_slowness(&mut self, seen: f64, noise: f64, now: Timestamp) {
         self.slowness.observe(seen, noise, now);
     }
 
-    /// It takes no new work from now on, unless its directory's entry says so anew.
+    /// Stops new work from `at` on, until a newer directory entry allows it; returns whether the engine was usable.
     pub(crate) fn retire(&mut self, at: Timestamp) -> bool {
         let was_usable = self.is_usable(at);
         self.unusable_since = Some(self.unusable_since.map_or(at, |since| since.min(at)));
         was_usable
     }
 
-    /// It takes no new work from now on, not even as the last resort.
+    /// Stops new work, even as a last resort; returns whether the engine was usable.
     pub(crate) fn withdraw(&mut self, now: Timestamp) -> bool {
         self.is_withdrawn = true;
         self.retire(now)
     }
 
-    /// Whether it may get a call where no other is left: it takes new work, or left only just now.
+    /// Whether the engine may be used if there is no other: it accepts new work, or left only recently.
     pub(crate) fn is_last_resort(&self, now: Timestamp) -> bool {
-        let left_just_now = self.unusable_since.is_none_or(|since| now.since(since) < LAST_RESORT_TIME);
-        left_just_now && !self.is_withdrawn
+        let left_recently = self.unusable_since.is_none_or(|since| now.since(since) < LAST_RESORT_TIME);
+        left_recently && !self.is_withdrawn
     }
 
-    /// A younger life of the engine was seen: this one is over, whatever it said.
-    pub(crate) fn superseded(&mut self, now: Timestamp) {
+    /// Ends this incarnation because a newer one was seen.
+    pub(crate) fn supersede(&mut self, now: Timestamp) {
         self.withdraw(now);
         self.spec.is_leaving = false;
     }
 
-    /// Takes in a newer entry of the directory; returns whether it changes what is believed.
+    /// Applies a newer directory entry; returns whether availability changed.
     pub(crate) fn update(&mut self, spec: EngineSpec, now: Timestamp) -> bool {
-        let is_old = spec.report < self.spec.report;
-        let comes_back = self.spec.is_leaving && !spec.is_leaving;
-        if is_old || comes_back {
-            // A report that was held up on its way; an engine that leaves does not change its mind.
+        let is_stale = spec.report < self.spec.report;
+        let rejoins = self.spec.is_leaving && !spec.is_leaving;
+        if is_stale || rejoins {
+            // Ignores reordered reports; an engine that drains never rejoins within the same incarnation.
             return false;
         }
         self.is_withdrawn = false;
@@ -216,7 +209,7 @@
             (_, leaving) => leaving,
         };
         if spec.report > self.spec.report {
-            self.coldness.told(spec.cold_left, now);
+            self.cold_state.record_report(spec.cold_left, now);
         }
         self.spec = spec;
         has_changed
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -1,80 +1,86 @@
-//! When a call would end at an engine, and what that costs the other calls there: one plain function, in milliseconds.
+//! Cost model of a call at an engine, in milliseconds: its own duration, the delay imposed on other calls there, and
+//! the network cost.
 
-use crate::distance::Way;
+use crate::distance::PathCost;
 
-/// What is known of an engine as a place for a call.
+/// State of an engine relevant to the cost of a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EngineFacts {
-    /// Tokens of the call's prompt that the engine does not hold.
+pub struct EngineState {
+    /// Tokens of the call's prompt that the engine has not cached.
     pub unread_tokens: f64,
-    /// Tokens of other calls' prompts that it still has to read.
+    /// Tokens of other calls' prompts that the engine has yet to prefill.
     pub queued_tokens: f64,
-    /// Calls under way there, of all nodes as far as is known.
+    /// Estimated calls in flight from all nodes.
     pub running: f64,
-    /// Calls that it works on at once.
+    /// Number of calls processed concurrently.
     pub slots: f64,
-    /// How many times longer than usual for its service it takes.
+    /// How many times longer than usual for its service the engine takes.
     pub slowness: f64,
-    /// The way there.
-    pub way: Way,
+    /// Path from this node to the engine.
+    pub path: PathCost,
 }
 
-/// What a call asks of an engine.
+/// Work of a call.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallWork {
-    /// Events that are generated; 1 for a call that is answered as a whole.
+    /// Events to generate; 1 for a non-streaming call.
     pub events: f64,
-    /// Kilobytes that travel to the engine.
+    /// Kilobytes sent to the engine.
     pub zone_kilobytes: f64,
-    /// Calls that leave the zone if this one does: those that follow it, too.
+    /// Calls that would cross zones if this one does, including its follow-ups.
     pub zone_calls: f64,
 }
 
-/// Speeds of an engine that is as fast as is usual for its service.
+/// Speeds of a service's typical engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Speeds {
-    /// Milliseconds to read one token of a prompt.
+    /// Prefill time of one prompt token.
     pub read_millis_per_token: f64,
-    /// Milliseconds until the first event besides the reading.
+    /// Time to the first event besides the prefill.
     pub first_millis: f64,
-    /// Milliseconds for an event when the call is alone.
+    /// Time of one event while no other call is in flight.
     pub event_millis: f64,
-    /// Milliseconds that each other call under way adds to an event.
+    /// Time that each other call in flight adds to an event.
     pub event_millis_per_call: f64,
 }
 
-/// An estimate in milliseconds.
+/// Estimated cost in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     /// Until the call's end.
     pub own_millis: f64,
-    /// By which the other calls under way there end later, together.
-    pub others_millis: f64,
-    /// What the way to another zone or region is worth.
+    /// Sum of the delays of other calls in flight at the engine.
+    pub imposed_millis: f64,
+    /// Cost of the path to another zone or region.
     pub zone_millis: f64,
 }
 
 impl Estimate {
-    /// What is compared between engines; the least is best.
+    /// The value to minimize.
     pub fn total(&self) -> f64 {
-        self.own_millis + self.others_millis + self.zone_millis
+        self.own_millis + self.imposed_millis + self.zone_millis
     }
 }
 
-/// Estimates what a call meets at an engine.
-pub fn estimate(engine: &EngineFacts, work: &CallWork, speeds: &Speeds) -> Estimate {
+/// Estimates the cost of a call at an engine.
+pub fn estimate(engine: &EngineState, work: &CallWork, speeds: &Speeds) -> Estimate {
     let event_millis = speeds.event_millis + speeds.event_millis_per_call * engine.running;
     let generating = work.events * event_millis * engine.slowness;
     let read_millis = speeds.read_millis_per_token * engine.slowness;
     let reading = (engine.queued_tokens + engine.unread_tokens) * read_millis;
     let first = speeds.first_millis * engine.slowness;
-    // While all slots are taken a call waits for its turn.
-    let turns_to_wait = ((engine.running + 1.0 - engine.slots) / engine.slots.max(1.0)).max(0.0);
-    let waiting = turns_to_wait * (first + generating);
-    // Others generate nothing while this prompt is read, and a little slower afterwards.
-    let slower_steps = work.events * speeds.event_millis_per_call * engine.slowness;
-    let others = engine.running * (engine.unread_tokens * read_millis + slower_steps);
-    let way = engine.way;
-    let zone = work.zone_calls * (way.round_trip_millis + work.zone_kilobytes * way.millis_per_kilobyte);
-    Estimate { own_millis: waiting + first + reading + generating, others_millis: others, zone_millis: zone }
+    // A call queues while all slots are taken.
+    let queue_rounds = ((engine.running + 1.0 - engine.slots) / engine.slots.max(1.0)).max(0.0);
+    let waiting = queue_rounds * (first + generating);
+    // Others generate nothing during this call's prefill, and slightly slower afterwards.
+    let added_event_millis = work.events * speeds.event_millis_per_call * engine.slowness;
+    let imposed = engine.running * (engine.unread_tokens * read_millis + added_event_millis);
+    let path = engine.path;
+    let network = work.zone_calls * (path.round_trip_millis + work.zone_kilobytes * path.millis_per_kilobyte);
+    Estimate {
+        own_millis: waiting + first + reading + generating,
+        imposed_millis: imposed,
+        zone_millis: network,
+    }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which route a call takes, which service serves it, and which engine is the best for it.
+//! Selection of the route, the service and the engine of a call.
 //!
-//! The routes in force never go back to an older version ([`Routes`]). The engines and what is believed of them stand
-//! in [`EngineBook`]; the choice among them compares one plain function, [`estimate`], whose speeds are learned from
-//! the answers seen ([`LearnedSpeeds`]). The order of turns at a full engine is another, [`urgency`].
+//! [`Routes`] holds the routing table in force, which is never replaced by an older version. [`EngineBook`] tracks
+//! the engines and chooses the one of least cost by [`estimate`], with speeds learned from past answers
+//! ([`LearnedSpeeds`]). [`urgency`] orders the queue of a full engine.
 
 mod book;
 mod choice;
@@ -12,10 +12,10 @@
 mod engine;
 mod estimate;
 mod evacuation;
+mod interner;
 mod line_fit;
-mod names;
-mod others;
 mod outlier;
+mod peer_load;
 mod recent_calls;
 mod routes;
 mod slowness;
@@ -26,15 +26,15 @@
 pub use book::{EngineBook, EngineRoom, EntryChange};
 pub use choice::{PartNeed, Placed, PlacementRequest, RequestedWork};
 pub use cold::{ColdLimit, PERMIT_LASTS, Permit};
-pub use distance::{TrafficPrices, Way};
-pub use ejection::{FIRST_ASIDE, LONGEST_ASIDE, RETURN_TIME};
+pub use distance::{PathCost, TrafficPrices};
+pub use ejection::{FIRST_EJECTION_TIME, MAX_EJECTION_TIME, RECOVERY_TIME};
 pub use engine::{EngineSpec, Outcome};
-pub use estimate::{CallWork, EngineFacts, Estimate, Speeds, estimate};
+pub use estimate::{CallWork, EngineState, Estimate, Speeds, estimate};
 pub use evacuation::{Evacuation, EvacuationChange};
 pub use line_fit::{FitBounds, LineFit};
 pub use outlier::{
-    JudgedEngine, Judgement, LEAST_SAMPLE, OutlierChange, OutlierChangeKind, Stage, Verdict, judge,
-    most_aside,
+    EjectionStage, EngineSample, Evaluation, MIN_SAMPLE, OutlierChange, OutlierChangeKind, Verdict, evaluate,
+    max_ejected,
 };
 pub use recent_calls::CallCounts;
 pub use routes::{Routes, Selected};
--- a/crates/routing/src/line_fit.rs
+++ b/crates/routing/src/line_fit.rs
@@ -1,18 +1,18 @@
-//! A straight line through noisy observations, the newer ones counting more: learns a rate and a fixed part together.
+//! Online linear regression with exponential forgetting: learns a rate and a constant together.
 
-/// Share of its weight that an old observation keeps with each new one.
-const KEPT: f64 = 0.995;
-/// Weight of the starting belief, which fades with each observation.
-const STARTING_WEIGHT: f64 = 10.0;
-/// Weight that the starting slope keeps for good, for times in which `x` hardly varies.
-const LASTING_WEIGHT: f64 = 0.1;
+/// Weight factor of old observations with each new one.
+const DECAY_FACTOR: f64 = 0.995;
+/// Weight of the prior, which decays with each observation.
+const PRIOR_WEIGHT: f64 = 10.0;
+/// Weight of the prior slope that never decays, for periods in which `x` hardly varies.
+const PERMANENT_PRIOR_WEIGHT: f64 = 0.1;
 
-/// Values that a slope and an intercept may have.
+/// Allowed ranges of the slope and the intercept.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FitBounds {
-    /// Least and largest slope.
+    /// Minimum and maximum.
     pub slope: (f64, f64),
-    /// Least and largest intercept.
+    /// Minimum and maximum.
     pub intercept: (f64, f64),
 }
 
@@ -20,8 +20,8 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LineFit {
     bounds: FitBounds,
-    starting_slope: f64,
-    lasting_spread: f64,
+    prior_slope: f64,
+    prior_spread: f64,
     weight: f64,
     mean_x: f64,
     mean_y: f64,
@@ -30,15 +30,15 @@
 }
 
 impl LineFit {
-    /// A fit that starts from a belief about the values around `0..=scale`.
-    pub fn starting(intercept: f64, slope: f64, scale: f64, bounds: FitBounds) -> Self {
+    /// Starts from a prior line over `0..=scale`.
+    pub fn with_prior(intercept: f64, slope: f64, scale: f64, bounds: FitBounds) -> Self {
         let middle = scale / 2.0;
-        let spread_x = STARTING_WEIGHT * middle * middle;
+        let spread_x = PRIOR_WEIGHT * middle * middle;
         Self {
             bounds,
-            starting_slope: slope,
-            lasting_spread: LASTING_WEIGHT * middle * middle,
-            weight: STARTING_WEIGHT,
+            prior_slope: slope,
+            prior_spread: PERMANENT_PRIOR_WEIGHT * middle * middle,
+            weight: PRIOR_WEIGHT,
             mean_x: middle,
             mean_y: intercept + slope * middle,
             spread_x,
@@ -46,30 +46,30 @@
         }
     }
 
-    /// Takes an observation in.
+    /// Adds an observation and reduces the weight of earlier ones.
     pub fn observe(&mut self, x: f64, y: f64) {
-        self.weight = self.weight * KEPT + 1.0;
+        self.weight = self.weight * DECAY_FACTOR + 1.0;
         let (off_x, off_y) = (x - self.mean_x, y - self.mean_y);
         self.mean_x += off_x / self.weight;
         self.mean_y += off_y / self.weight;
-        self.spread_x = self.spread_x * KEPT + off_x * (x - self.mean_x);
-        self.spread_xy = self.spread_xy * KEPT + off_x * (y - self.mean_y);
+        self.spread_x = self.spread_x * DECAY_FACTOR + off_x * (x - self.mean_x);
+        self.spread_xy = self.spread_xy * DECAY_FACTOR + off_x * (y - self.mean_y);
     }
 
-    /// What one more of `x` adds.
+    /// Clamped to its bounds.
     pub fn slope(&self) -> f64 {
-        let (least, largest) = self.bounds.slope;
-        let together = self.spread_xy + self.lasting_spread * self.starting_slope;
-        (together / (self.spread_x + self.lasting_spread)).clamp(least, largest)
+        let (lower, upper) = self.bounds.slope;
+        let combined = self.spread_xy + self.prior_spread * self.prior_slope;
+        (combined / (self.spread_x + self.prior_spread)).clamp(lower, upper)
     }
 
-    /// The value at zero.
+    /// Clamped to its bounds.
     pub fn intercept(&self) -> f64 {
-        let (least, largest) = self.bounds.intercept;
-        (self.mean_y - self.slope() * self.mean_x).clamp(least, largest)
+        let (lower, upper) = self.bounds.intercept;
+        (self.mean_y - self.slope() * self.mean_x).clamp(lower, upper)
     }
 
-    /// The value at `x`.
+    /// The fitted value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept() + self.slope() * x
     }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,6 +1,7 @@
-//! Outlier ejection: an engine that fails a far larger part of its calls than the rest of its service is put aside for a time.
+//! Outlier ejection: an engine whose failure rate is far above that of the rest of its service gets no calls for a
+//! time.
 //!
-//! [`judge`] decides from the calls of all nodes; [`crate::ejection`] holds what one node keeps of one engine.
+//! [`evaluate`] decides from the calls of all nodes; [`crate::ejection`] holds one node's state of one engine.
 
 use std::time::Duration;
 
@@ -8,178 +9,179 @@
 
 use crate::recent_calls::CallCounts;
 
-/// Calls that must have ended of late before an engine is put aside, and how many of them must have failed. A busy engine
-/// has them within half a second; where one call in fifty fails, six of 24 do so less than once in 100,000 times.
-pub const LEAST_SAMPLE: u32 = 12;
-const LEAST_FAILURES: u32 = 6;
-/// The same for an engine that is being brought back: it has shown before that it fails.
-const LEAST_RETURN_SAMPLE: u32 = 6;
-const LEAST_RETURN_FAILURES: u32 = 2;
-/// Share of failed calls from which an engine may be an outlier.
-const FAILURE_RATE: f64 = 0.25;
-/// How many times the mean rate of the rest of its service that share must be.
-const TIMES_THE_REST: f64 = 3.0;
-/// An engine with so many failed calls, and half of the rate above, is counted as a suspect: engines that begin to fail
-/// together do not reach the sample at the same moment.
+/// Minimum recent calls, and failures among them, for an ejection. At a failure rate of 2 %, six failures in 24 calls
+/// occur by chance less than once in 100,000 samples.
+pub const MIN_SAMPLE: u32 = 12;
+const MIN_FAILURES: u32 = 6;
+/// The same for a recovering engine. Lower, as it has failed before.
+const MIN_RECOVERY_SAMPLE: u32 = 6;
+const MIN_RECOVERY_FAILURES: u32 = 2;
+/// Minimum failure rate of an outlier.
+const MIN_FAILURE_RATE: f64 = 0.25;
+/// Minimum ratio of an outlier's failure rate to the mean of the rest of its service.
+const MIN_RATE_RATIO: f64 = 3.0;
+/// From here on an engine is a suspect. Suspects count towards the cap on ejections, as engines that begin to fail
+/// together reach the minimum sample at different times.
 const SUSPECT_FAILURES: u32 = 3;
-const SUSPECT_RATE: f64 = FAILURE_RATE / 2.0;
-/// Calls by which a rate is divided at least, so that a single call says little.
-const RATE_SAMPLE: u32 = 5;
-/// One in so many engines of a service may be put aside, and one where there are at least a few.
-const ENGINES_FOR_EACH_ASIDE: usize = 5;
-const FEWEST_ENGINES: usize = 3;
-
-/// Where an engine stands.
+const SUSPECT_RATE: f64 = MIN_FAILURE_RATE / 2.0;
+/// Minimum divisor of a failure rate, so that a single call has little weight.
+const MIN_RATE_DIVISOR: u32 = 5;
+/// At most one engine in `ENGINES_PER_EJECTION` of a service is ejected, but one is allowed from `MIN_ENGINES` on.
+const ENGINES_PER_EJECTION: usize = 5;
+const MIN_ENGINES: usize = 3;
+
+/// Whether and how ejection restricts the calls to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
-    /// It gets calls as any other.
-    In,
-    /// It gets none while there is another.
-    Aside,
-    /// It gets a part of its usual share: the number of the step, the first one being single calls.
-    Returning(u32),
-    /// It gets calls as any other and is not put aside for a time, as it was not the only one that failed.
-    Spared,
+pub enum EjectionStage {
+    /// Gets calls as any other.
+    Active,
+    /// Gets no calls while there is another engine.
+    Ejected,
+    /// Gets a part of its fair share. Holds the recovery step; in step 0 one call at a time is admitted.
+    Recovering(u32),
+    /// Gets calls as any other and can't be ejected for a time, as other engines failed with it.
+    Exempt,
 }
 
-/// An engine in use, as it is judged.
+/// Input of the evaluation: an engine that is in use or ejected.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy)]
-pub struct JudgedEngine {
-    /// Calls of all nodes that ended there of late.
+pub struct EngineSample {
+    /// Recent calls of all nodes.
     pub calls: CallCounts,
-    /// Where it stands.
-    pub stage: Stage,
-    /// Whether it gets few calls as others told that their last ones there failed.
+    pub stage: EjectionStage,
+    /// Whether the engine gets few calls because peers reported failures of their last ones.
     pub is_avoided: bool,
 }
 
-/// What an engine was judged to be, and by what.
+/// Result of the evaluation of an engine.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Judgement {
-    /// What becomes of it.
+pub struct Evaluation {
     pub verdict: Verdict,
-    /// The mean failure rate of the rest of its service.
+    /// Mean failure rate of the rest of the service.
     pub rest_rate: f64,
 }
 
-/// What becomes of an engine.
+/// Decision about an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It stays where it stands.
-    Stays,
-    /// It is an outlier and gets no calls for a time.
-    PutAside,
-    /// It gets its calls again: more engines fail than may be put aside, so the cause lies elsewhere.
-    Released,
+    /// The stage does not change.
+    Keep,
+    /// The engine is an outlier and gets no calls for a time.
+    Eject,
+    /// The ejection ends early: more engines fail than may be ejected, so the cause lies elsewhere.
+    Release,
 }
 
-/// How many of a service's engines may be put aside.
-pub fn most_aside(engines: usize) -> usize {
-    if engines < FEWEST_ENGINES { 0 } else { (engines / ENGINES_FOR_EACH_ASIDE).max(1) }
+/// Maximum number of engines of a service that may be ejected at a time.
+pub fn max_ejected(engines: usize) -> usize {
+    if engines < MIN_ENGINES { 0 } else { (engines / ENGINES_PER_EJECTION).max(1) }
 }
 
-/// Judges the engines of one service that are in use or put aside: a judgement for each, in order.
+/// Evaluates all engines of one service that are in use or ejected; returns one result for each, in order.
 ///
-/// An engine is an outlier where enough of its calls ended, and the share that failed is high and far above the mean of the
-/// others. Where more engines fail than may be put aside none is one.
-pub fn judge(engines: &[JudgedEngine]) -> Vec<Judgement> {
-    let most = most_aside(engines.len());
-    let rest = Rest::of(engines);
-    let out = engines.iter().filter(|engine| engine.is_out()).count();
-    let inside = || engines.iter().filter(|engine| engine.stage == Stage::In);
-    let outliers = inside().filter(|engine| rest.is_exceeded_by(engine)).count();
-    let suspects = engines.iter().filter(|engine| !engine.is_out() && engine.is_suspect()).count();
-    let is_widespread = outliers > 0 && out + outliers > most;
-    let may_put_aside = out + suspects <= most;
-    let verdict = |engine: &JudgedEngine| match engine.stage {
-        Stage::Aside | Stage::Returning(_) if is_widespread => Verdict::Released,
-        Stage::In if may_put_aside && rest.is_exceeded_by(engine) => Verdict::PutAside,
-        Stage::Returning(_) if rest.is_exceeded_by(engine) => Verdict::PutAside,
-        _ => Verdict::Stays,
+/// An engine is an outlier if enough of its calls ended and its failure rate is high and far above the mean of the
+/// others. If more engines fail than may be ejected, none is an outlier.
+pub fn evaluate(engines: &[EngineSample]) -> Vec<Evaluation> {
+    let limit = max_ejected(engines.len());
+    let rates = FailureRates::from_samples(engines);
+    let restricted = engines.iter().filter(|engine| engine.is_restricted()).count();
+    let active = || engines.iter().filter(|engine| engine.stage == EjectionStage::Active);
+    let outliers = active().filter(|engine| rates.is_outlier(engine)).count();
+    let suspects = engines.iter().filter(|engine| !engine.is_restricted() && engine.is_suspect()).count();
+    let is_widespread = outliers > 0 && restricted + outliers > limit;
+    let may_eject = restricted + suspects <= limit;
+    let verdict = |engine: &EngineSample| match engine.stage {
+        EjectionStage::Ejected | EjectionStage::Recovering(_) if is_widespread => Verdict::Release,
+        EjectionStage::Active if may_eject && rates.is_outlier(engine) => Verdict::Eject,
+        EjectionStage::Recovering(_) if rates.is_outlier(engine) => Verdict::Eject,
+        _ => Verdict::Keep,
     };
-    let judgements = engines.iter();
-    judgements.map(|engine| Judgement { verdict: verdict(engine), rest_rate: rest.besides(engine) }).collect()
+    let samples = engines.iter();
+    samples
+        .map(|engine| Evaluation { verdict: verdict(engine), rest_rate: rates.mean_without(engine) })
+        .collect()
 }
 
-/// Failure rates of the engines that are not put aside.
+/// Failure rates of the engines that get their full share.
 #[derive(Debug, Default)]
-struct Rest {
+struct FailureRates {
     engines: usize,
     sum: f64,
 }
 
-impl Rest {
-    fn of(engines: &[JudgedEngine]) -> Self {
-        let serving = engines.iter().filter(|engine| !engine.is_out());
-        serving.fold(Self::default(), |rest, engine| Self {
-            engines: rest.engines + 1,
-            sum: rest.sum + rate(engine.calls),
+impl FailureRates {
+    fn from_samples(engines: &[EngineSample]) -> Self {
+        let serving = engines.iter().filter(|engine| !engine.is_restricted());
+        serving.fold(Self::default(), |rates, engine| Self {
+            engines: rates.engines + 1,
+            sum: rates.sum + rate(engine.calls),
         })
     }
 
-    /// The mean rate of all but one.
-    fn besides(&self, engine: &JudgedEngine) -> f64 {
-        let (engines, sum) = match engine.is_out() {
+    /// Mean failure rate of all engines but one.
+    fn mean_without(&self, engine: &EngineSample) -> f64 {
+        let (engines, sum) = match engine.is_restricted() {
             true => (self.engines, self.sum),
             false => (self.engines.saturating_sub(1), self.sum - rate(engine.calls)),
         };
         if engines == 0 { 0.0 } else { sum.max(0.0) / engines as f64 }
     }
 
-    fn is_exceeded_by(&self, engine: &JudgedEngine) -> bool {
+    fn is_outlier(&self, engine: &EngineSample) -> bool {
         let (sample, failures) = match engine.stage {
-            Stage::In => (LEAST_SAMPLE, LEAST_FAILURES),
-            Stage::Returning(_) => (LEAST_RETURN_SAMPLE, LEAST_RETURN_FAILURES),
-            Stage::Aside | Stage::Spared => return false,
+            EjectionStage::Active => (MIN_SAMPLE, MIN_FAILURES),
+            EjectionStage::Recovering(_) => (MIN_RECOVERY_SAMPLE, MIN_RECOVERY_FAILURES),
+            EjectionStage::Ejected | EjectionStage::Exempt => return false,
         };
-        let least_rate = FAILURE_RATE.max(TIMES_THE_REST * self.besides(engine));
-        let is_enough = engine.calls.ended >= sample && engine.calls.failed >= failures;
-        is_enough && rate(engine.calls) >= least_rate
+        let min_rate = MIN_FAILURE_RATE.max(MIN_RATE_RATIO * self.mean_without(engine));
+        let has_sample = engine.calls.ended >= sample && engine.calls.failed >= failures;
+        has_sample && rate(engine.calls) >= min_rate
     }
 }
 
-impl JudgedEngine {
-    /// Whether it does not get its usual share.
-    fn is_out(&self) -> bool {
-        matches!(self.stage, Stage::Aside | Stage::Returning(_))
+impl EngineSample {
+    /// Whether the engine is kept from its full share.
+    fn is_restricted(&self) -> bool {
+        matches!(self.stage, EjectionStage::Ejected | EjectionStage::Recovering(_))
     }
 
     fn is_suspect(&self) -> bool {
         let fails = self.calls.failed >= SUSPECT_FAILURES && rate(self.calls) >= SUSPECT_RATE;
-        fails || self.is_avoided || self.stage == Stage::Spared
+        fails || self.is_avoided || self.stage == EjectionStage::Exempt
     }
 }
 
-/// The share of calls that failed, as far as they say something.
+/// Failure rate, lowered for small samples.
 fn rate(calls: CallCounts) -> f64 {
-    f64::from(calls.failed) / f64::from(calls.ended.max(RATE_SAMPLE))
+    f64::from(calls.failed) / f64::from(calls.ended.max(MIN_RATE_DIVISOR))
 }
 
-/// A change to be told to operators.
+/// A change of an engine's ejection, for the operators' log.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutlierChange {
-    /// The engine.
     pub engine: EngineId,
-    /// What happened.
     pub kind: OutlierChangeKind,
-    /// Calls of all nodes that ended there of late.
+    /// Recent calls of all nodes at the engine.
     pub calls: CallCounts,
-    /// The mean failure rate of the rest of its service.
+    /// Mean failure rate of the rest of its service.
     pub rest_rate: f64,
-    /// Age of what is known of other nodes' calls; `None` where only the own calls count.
+    /// Age of the latest peer report; `None` if only this node's calls were counted.
     pub news_age: Option<Duration>,
 }
 
-/// What happened to an engine.
+/// Kind of a change of an engine's ejection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum OutlierChangeKind {
-    /// It was put aside.
+    /// The engine was ejected.
     PutAside {
-        /// For so long.
+        /// Duration of the ejection.
         pause: Duration,
     },
-    /// It has its usual share again.
+    /// Recovery is complete; the engine gets its full share.
     BroughtBack,
-    /// It gets its calls again before its time, as more engines of its service fail than may be put aside.
+    /// The ejection ended early, as more engines of the service fail than may be ejected.
     Released,
 }
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -1,25 +1,24 @@
-//! The routes in force, and the split of a route's calls over services.
+//! The routing table in force and weighted selection among a route's services.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::table::{Route, RouteTable, ServiceSpec};
 
-/// The fractional part of the golden ratio: its multiples fill an interval more evenly than chance.
-pub(crate) const GOLDEN_STEP: f64 = 0.618_033_988_749_895;
+/// The fractional part of the golden ratio: its multiples fill an interval more evenly than random numbers.
+pub(crate) const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// The route and service of a call.
+/// The route and service selected for a call.
+#[allow(missing_docs)]
 #[derive(Debug, Clone)]
 pub struct Selected {
-    /// The route.
     pub route: Arc<Route>,
-    /// The service.
     pub service: ServiceSpec,
-    /// Version of the configuration that said so.
+    /// Version of the configuration.
     pub version: u64,
 }
 
-/// The routes in force. A lower version never replaces a higher one.
+/// The routing table in force; never replaced by an older version.
 #[derive(Debug, Default)]
 pub struct Routes {
     table: Option<Arc<RouteTable>>,
@@ -27,7 +26,7 @@
 }
 
 impl Routes {
-    /// Puts a table in force if it is newer; returns whether it is.
+    /// Installs a table if it is newer; returns whether it was.
     pub fn apply(&mut self, table: RouteTable) -> bool {
         let is_newer = self.table.as_ref().is_none_or(|current| table.version > current.version);
         if is_newer {
@@ -36,16 +35,16 @@
         is_newer
     }
 
-    /// The table in force.
+    /// `None` until a table was applied.
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// The route and service of a call; `None` where there is no such route.
+    /// Selects the route and service of a call; `None` if no route matches or no table is in force.
     pub fn select(&mut self, host: &str, path: &str) -> Option<Selected> {
         let table = Arc::clone(self.table.as_ref()?);
         let route = table.find(host, path)?;
-        let service = self.split(route)?;
+        let service = self.next_service(route)?;
         let service = table.service(&service).cloned().unwrap_or(ServiceSpec {
             name: service,
             max_connections: usize::MAX,
@@ -55,22 +54,22 @@
         Some(Selected { route: Arc::clone(route), service, version: table.version })
     }
 
-    /// The service whose turn it is.
-    fn split(&mut self, route: &Route) -> Option<Arc<str>> {
+    /// Picks the next service by weight.
+    fn next_service(&mut self, route: &Route) -> Option<Arc<str>> {
         if let [only] = &route.services[..] {
             return Some(Arc::clone(&only.service));
         }
-        let total: u32 = route.services.iter().map(|part| part.weight).sum();
+        let total: u32 = route.services.iter().map(|weighted| weighted.weight).sum();
         let turn = self.turns.entry(Arc::clone(&route.name)).or_default();
         *turn = turn.wrapping_add(1);
-        let point = (f64::from(*turn) * GOLDEN_STEP).fract() * f64::from(total);
-        let mut passed = 0.0;
-        for part in &route.services {
-            passed += f64::from(part.weight);
-            if point < passed {
-                return Some(Arc::clone(&part.service));
+        let point = (f64::from(*turn) * GOLDEN_RATIO_FRACTION).fract() * f64::from(total);
+        let mut cumulative = 0.0;
+        for weighted in &route.services {
+            cumulative += f64::from(weighted.weight);
+            if point < cumulative {
+                return Some(Arc::clone(&weighted.service));
             }
         }
-        route.services.last().map(|part| Arc::clone(&part.service))
+        route.services.last().map(|weighted| Arc::clone(&weighted.service))
     }
 }
--- a/crates/routing/src/speeds.rs
+++ b/crates/routing/src/speeds.rs
@@ -1,43 +1,42 @@
-//! How fast the engines of a service are, learned from the answers seen.
+//! Speeds of a service's engines, learned from past answers.
 
 use crate::estimate::Speeds;
 use crate::line_fit::{FitBounds, LineFit};
 use crate::slowness::Noise;
 
-/// Starting beliefs, right within a factor of a few for today's models; a few dozen answers replace them.
-const STARTING_READ_MILLIS_PER_TOKEN: f64 = 0.01;
-const STARTING_FIRST_MILLIS: f64 = 20.0;
-const STARTING_EVENT_MILLIS: f64 = 10.0;
-const STARTING_EVENT_MILLIS_PER_CALL: f64 = 0.2;
-const STARTING_EVENTS: f64 = 10.0;
-/// What answers are usually seen with: so many tokens to read, so many calls under way.
+/// Priors, of the right order of magnitude for current models; replaced within a few dozen answers.
+const PRIOR_READ_MILLIS_PER_TOKEN: f64 = 0.01;
+const PRIOR_FIRST_MILLIS: f64 = 20.0;
+const PRIOR_EVENT_MILLIS: f64 = 10.0;
+const PRIOR_EVENT_MILLIS_PER_CALL: f64 = 0.2;
+const PRIOR_EVENTS: f64 = 10.0;
+/// Typical tokens to prefill and calls in flight, which set the scale of the priors.
 const TOKENS_SCALE: f64 = 10_000.0;
 const CALLS_SCALE: f64 = 16.0;
-/// Bounds of what may be learned.
+/// Bounds of learned values, in milliseconds.
 const READ_BOUNDS: FitBounds = FitBounds { slope: (0.000_5, 1.0), intercept: (0.0, 2_000.0) };
 const EVENT_BOUNDS: FitBounds = FitBounds { slope: (0.0, 50.0), intercept: (0.05, 2_000.0) };
-/// Weight of a new observation of how many events an answer has.
+/// Weight of a new observation of the number of events.
 const EVENTS_LEARNING_RATE: f64 = 0.02;
-/// How many times longer than expected an answer may take to teach anything of the service: what took still longer
-/// shows trouble, not speed.
-const LONGEST_TEACHING: f64 = 6.0;
+/// Answers that took more than this many times the expected time are not used to learn speeds: they indicate a fault.
+const MAX_SLOWNESS_TO_LEARN: f64 = 6.0;
 
-/// What an answer showed.
+/// Observation of one streamed answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StreamSeen {
-    /// Milliseconds from the sending to the first event.
+    /// From sending the call to the first event.
     pub first_millis: f64,
-    /// Milliseconds between the first event and the last.
+    /// From the first event to the last.
     pub rest_millis: f64,
-    /// Events of the answer.
+    /// Number of events in the answer.
     pub events: u64,
-    /// Prompt tokens that the engine was believed to read before the first event, of other calls too.
+    /// Estimated tokens to prefill before the first event, including those of other calls.
     pub tokens_ahead: f64,
-    /// Calls believed to be under way there.
+    /// Estimated calls in flight at the engine.
     pub running: f64,
 }
 
-/// Speeds of the engines of one service, an engine of usual speed.
+/// Learned speeds of a service's typical engine.
 #[derive(Debug, Clone)]
 pub struct LearnedSpeeds {
     read: LineFit,
@@ -48,30 +47,22 @@
 
 impl Default for LearnedSpeeds {
     fn default() -> Self {
-        let read = LineFit::starting(
-            STARTING_FIRST_MILLIS,
-            STARTING_READ_MILLIS_PER_TOKEN,
-            TOKENS_SCALE,
-            READ_BOUNDS,
-        );
-        let event = LineFit::starting(
-            STARTING_EVENT_MILLIS,
-            STARTING_EVENT_MILLIS_PER_CALL,
-            CALLS_SCALE,
-            EVENT_BOUNDS,
-        );
-        Self { read, event, events: STARTING_EVENTS, noise: Noise::default() }
+        let read =
+            LineFit::with_prior(PRIOR_FIRST_MILLIS, PRIOR_READ_MILLIS_PER_TOKEN, TOKENS_SCALE, READ_BOUNDS);
+        let event =
+            LineFit::with_prior(PRIOR_EVENT_MILLIS, PRIOR_EVENT_MILLIS_PER_CALL, CALLS_SCALE, EVENT_BOUNDS);
+        Self { read, event, events: PRIOR_EVENTS, noise: Noise::default() }
     }
 }
 
 impl LearnedSpeeds {
-    /// Learns from an answer that ended well. Returns how many times longer than expected it took.
+    /// Learns from an answer that succeeded; returns the ratio of its time to the expected time.
     pub fn observe(&mut self, seen: &StreamSeen) -> f64 {
         let gaps = seen.events.saturating_sub(1) as f64;
         let expected_first = self.read.at(seen.tokens_ahead);
         let expected_rest = self.event.at(seen.running) * gaps;
         let slowness = (seen.first_millis + seen.rest_millis) / (expected_first + expected_rest).max(1.0);
-        if slowness <= LONGEST_TEACHING {
+        if slowness <= MAX_SLOWNESS_TO_LEARN {
             self.read.observe(seen.tokens_ahead, seen.first_millis);
             if gaps > 0.0 {
                 self.event.observe(seen.running, seen.rest_millis / gaps);
@@ -81,7 +72,7 @@
         slowness
     }
 
-    /// Speeds for an estimate.
+    /// Current estimate, for [`crate::estimate()`].
     pub fn speeds(&self) -> Speeds {
         Speeds {
             read_millis_per_token: self.read.slope(),
@@ -91,7 +82,7 @@
         }
     }
 
-    /// Events that an answer has.
+    /// Mean number of events in an answer.
     pub fn events(&self) -> f64 {
         self.events
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The routes and services of one version of the configuration.
+//! The routes and services of one configuration version.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,81 +11,79 @@
 
 use crate::cold::ColdLimit;
 
-/// A service that gets a share of a route's calls.
+/// A service with its weight in a route.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service.
     pub service: Arc<str>,
-    /// Its share, relative to the others.
+    /// Relative to the other services of the route.
     pub weight: u32,
 }
 
 /// A route.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
     pub name: Arc<str>,
-    /// The host that callers name.
+    /// Compared without regard to case.
     pub host: String,
-    /// Beginning of the path, with slashes at both ends.
+    /// Path prefix with a slash at both ends.
     pub prefix: String,
-    /// Services that serve it.
     pub services: Vec<WeightedService>,
-    /// What is allowed for its calls.
     pub rules: CallRules,
-    /// Whether callers need no key.
+    /// Whether calls need no API key.
     pub is_public: bool,
-    /// Whether calls about the same thing run faster at the same engine.
+    /// Whether an engine serves calls with the same affinity key faster after the first one.
     pub is_sticky: bool,
-    /// Whether the system keeps what was said.
+    /// Whether the messages of its programs are stored.
     pub is_retained: bool,
     /// How long a program's records are kept.
     pub retention: Duration,
-    /// Regions in which its calls may be served and kept.
+    /// Regions in which calls may be served and records kept.
     pub regions: AllowedRegions,
 }
 
 /// A service.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
     pub name: Arc<str>,
-    /// Connections that one of its engines accepts from all callers together.
+    /// Connections that one engine accepts from all callers together.
     pub max_connections: usize,
-    /// Tokens that an event of its streams holds; 0 where it generates none.
+    /// Tokens in one stream event; 0 for a service that generates none.
     pub tokens_per_event: u64,
-    /// What its engines take while they are cold; `None` where they take as much as ever.
+    /// Limits of cold engines; `None` if cold engines take full load.
     pub cold: Option<ColdLimit>,
 }
 
-/// What callers may send.
+/// Limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a head.
+    /// Maximum size of a request head.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Time for a head.
+    /// Timeout for receiving the head.
     pub header_time: Duration,
-    /// Time that a connection may rest.
+    /// Timeout of an idle connection.
     pub idle_time: Duration,
 }
 
 /// One version of the configuration.
+#[allow(missing_docs)]
 #[derive(Debug, Clone)]
 pub struct RouteTable {
-    /// The version; higher ones are newer.
+    /// Higher is newer.
     pub version: u64,
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, ServiceSpec>,
-    /// What callers may send.
     pub limits: CallerLimits,
-    /// Who may call.
+    /// Tenants that may call; without any, everybody may.
     pub access: AccessTable,
 }
 
 impl RouteTable {
-    /// A table of routes and services.
+    /// Builds a table without tenants.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<ServiceSpec>, limits: CallerLimits) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -98,13 +96,13 @@
         Self { version, hosts, services, limits, access: AccessTable::default() }
     }
 
-    /// The same table where only these tenants may call.
+    /// Restricts calls to the tenants of a table.
     pub fn with_access(mut self, access: AccessTable) -> Self {
         self.access = access;
         self
     }
 
-    /// The route of the longest prefix that begins the path.
+    /// The route of the longest matching prefix; the port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
@@ -114,18 +112,18 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service.
+    /// `None` if the configuration does not define the service.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// What engines take while they are cold, of each service where that is less than usual.
+    /// Limits of cold engines by service, without services that have none.
     pub fn cold_limits(&self) -> HashMap<Arc<str>, ColdLimit> {
         let limits = self.services.values().filter_map(|service| Some((&service.name, service.cold?)));
         limits.map(|(name, limit)| (Arc::clone(name), limit)).collect()
     }
 
-    /// Whether callers are told apart by rank: routes or tenants have different ones.
+    /// Whether routes or tenants differ in priority.
     pub fn has_ranks(&self) -> bool {
         let of_routes = self.hosts.values().flatten().map(|route| route.rules.priority);
         let of_tenants = self.access.tenants().filter_map(|tenant| tenant.priority);
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -1,12 +1,12 @@
-//! Engines that are cold: what tells of it, and what a call needs that goes there.
+//! Cold engines: when an engine counts as cold, and when a call to it needs a permit.
 
-mod engines_for_tests;
+mod engine_fixtures;
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use engines_for_tests::{NOW, book, book_without, chosen, may_send, request, spec};
+use engine_fixtures::{NOW, book, book_without, chosen, may_send, request, spec};
 use sumacdrift_calls::EngineId;
 use sumacdrift_routing::{ColdLimit, EngineBook, EngineSpec, Evacuation, PERMIT_LASTS, Permit};
 use sumacdrift_types::Mechanism;
@@ -23,22 +23,22 @@
     EngineSpec { cold_left: left, report, ..spec(id, "z1") }
 }
 
-fn is_cold(book: &EngineBook, id: &str, passed: Duration) -> bool {
-    book.cold_limit(&EngineId::new(id), NOW + passed).is_some()
+fn is_cold(book: &EngineBook, id: &str, elapsed: Duration) -> bool {
+    book.cold_limit(&EngineId::new(id), NOW + elapsed).is_some()
 }
 
 #[test]
-fn an_entry_tells_how_long_an_engine_is_cold() {
+fn entry_sets_how_long_an_engine_is_cold() {
     let mut book = with_limits(book(&[]));
     book.upsert(cold("a", LASTS, 1), NOW);
     assert!(is_cold(&book, "a", Duration::from_millis(2_900)));
     assert!(!is_cold(&book, "a", LASTS));
-    let placed = book.choose(&request(&[]), NOW).expect("an engine");
+    let placed = book.choose(&request(&[]), NOW).expect("an engine is available");
     assert_eq!(placed.cold, Some(LIMIT));
 }
 
 #[test]
-fn a_newer_entry_tells_otherwise_and_an_older_one_does_not() {
+fn only_a_newer_entry_changes_coldness() {
     let mut book = with_limits(book(&[]));
     book.upsert(cold("a", LASTS, 5), NOW);
     book.upsert(cold("a", Duration::ZERO, 4), NOW);
@@ -46,25 +46,25 @@
     book.upsert(cold("a", Duration::ZERO, 6), NOW);
     assert!(!is_cold(&book, "a", Duration::ZERO));
     book.upsert(cold("a", LASTS, 7), NOW);
-    assert!(is_cold(&book, "a", Duration::ZERO), "it may become cold again at any moment");
+    assert!(is_cold(&book, "a", Duration::ZERO), "an engine may become cold again");
 }
 
 #[test]
-fn where_a_service_has_no_limit_coldness_does_not_matter() {
+fn coldness_is_ignored_without_a_service_limit() {
     let mut book = book(&[]);
     book.upsert(cold("a", LASTS, 1), NOW);
-    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine").cold, None);
+    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine is available").cold, None);
     assert!(may_send(&book, "a", None, NOW));
 }
 
-/// The engines of a zone that is taken back may be cold and have not said so yet.
+/// Engines may have become cold in an evacuated zone without having reported it yet.
 #[test]
-fn engines_behind_an_evacuation_count_as_cold() {
+fn engines_are_assumed_cold_after_an_evacuation() {
     let mut book = with_limits(book(&[("a", "z1"), ("b", "z2")]));
     book.evacuate(Evacuation { zone: Arc::from("z1"), revision: 1 }, NOW);
     let later = NOW + Duration::from_secs(6);
     book.end_evacuation("z1", 2, later);
-    // A report from before, that nothing was cold, comes late.
+    // A delayed report from before, when the engine was not cold.
     book.upsert(cold("a", Duration::ZERO, 9), later);
     assert!(is_cold(&book, "a", Duration::from_millis(8_900)));
     assert!(!is_cold(&book, "a", Duration::from_secs(9)));
@@ -73,42 +73,42 @@
 }
 
 #[test]
-fn a_permit_allows_a_call_for_a_moment() {
+fn permit_expires() {
     let mut book = with_limits(book(&[]));
     book.upsert(cold("a", LASTS, 1), NOW);
     let permit = Some(Permit { asked: NOW });
     assert!(!may_send(&book, "a", None, NOW));
     assert!(may_send(&book, "a", permit, NOW + PERMIT_LASTS));
     assert!(!may_send(&book, "a", permit, NOW + PERMIT_LASTS + Duration::from_millis(1)));
-    assert!(may_send(&book, "a", None, NOW + LASTS), "it is warm by then");
+    assert!(may_send(&book, "a", None, NOW + LASTS), "the engine is warm by then");
 }
 
-/// An engine that turned cold while a connection to it was set up gets nothing without a permit.
+/// Guards against calls to an engine that turned cold while a connection to it was set up.
 #[test]
-fn an_engine_that_turned_cold_since_it_was_chosen_gets_nothing() {
+fn engine_that_turned_cold_after_the_choice_needs_a_permit() {
     let mut book = with_limits(book(&[("a", "z1")]));
-    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine").cold, None);
+    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine is available").cold, None);
     book.upsert(cold("a", LASTS, 2), NOW);
     assert!(!may_send(&book, "a", None, NOW));
 }
 
 #[test]
-fn an_engine_whose_permits_are_used_up_is_left_alone_and_may_be_waited_for() {
+fn cold_engine_without_permits_is_skipped_until_the_retry_time() {
     let mut book = with_limits(book(&[("b", "z2")]));
     book.upsert(cold("a", LASTS, 1), NOW);
-    // Busy enough that asking for a permit is worth it.
+    // Makes the other engine more expensive than a permit.
     (0..4).for_each(|_| book.sent(&EngineId::new("b"), 0, NOW));
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("a"));
-    let again = NOW + Duration::from_millis(100);
-    book.cold_refused(&EngineId::new("a"), again);
+    let retry_at = NOW + Duration::from_millis(100);
+    book.cold_refused(&EngineId::new("a"), retry_at);
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("b"));
-    assert_eq!(book.cold_again_at(&request(&[]), NOW), Some(again));
-    assert_eq!(chosen(&book, &request(&[]), again).as_deref(), Some("a"));
-    assert_eq!(book.cold_again_at(&request(&[]), again), None);
+    assert_eq!(book.cold_again_at(&request(&[]), NOW), Some(retry_at));
+    assert_eq!(chosen(&book, &request(&[]), retry_at).as_deref(), Some("a"));
+    assert_eq!(book.cold_again_at(&request(&[]), retry_at), None);
 }
 
 #[test]
-fn without_permits_cold_engines_get_nothing() {
+fn cold_engines_get_no_calls_if_permits_are_switched_off() {
     let mut book = with_limits(book_without(&[Mechanism::ColdPermits], &[("b", "z2")]));
     book.upsert(cold("a", LASTS, 1), NOW);
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("b"));
--- a/crates/routing/tests/engines_for_tests/mod.rs
+++ b/crates/routing/tests/engine_fixtures/mod.rs
@@ -1,4 +1,4 @@
-//! Engines, a book of them, and plain requests.
+//! Fixtures: engines, a book of them and plain requests.
 #![allow(dead_code)]
 
 use std::sync::LazyLock;
@@ -11,7 +11,6 @@
 use sumacdrift_scheduling::HealthSettings;
 use sumacdrift_types::{AllowedRegions, Location, Mechanism, SwitchedOff, Timestamp};
 
-/// No region is better than another.
 pub static ANYWHERE: LazyLock<AllowedRegions> = LazyLock::new(AllowedRegions::default);
 pub const NOW: Timestamp = Timestamp(5_000_000);
 
@@ -42,7 +41,7 @@
     book
 }
 
-/// A call that is answered as a whole.
+/// A non-streaming call.
 pub fn request(avoid: &[EngineId]) -> PlacementRequest<'_> {
     PlacementRequest {
         service: "s",
@@ -61,12 +60,11 @@
     book.choose(request, now).map(|placed| placed.engine.to_string())
 }
 
-/// A turn of the program `key`.
+/// A turn of the program with affinity key `key`.
 pub fn turn(key: u64, parts: &[PartNeed]) -> PlacementRequest<'_> {
     PlacementRequest { key, work: RequestedWork::Stream { parts }, ..request(&[]) }
 }
 
-/// Whether a call may be sent to an engine, by a permit or without one.
 pub fn may_send(book: &EngineBook, engine: &str, permit: Option<Permit>, now: Timestamp) -> bool {
     book.may_send(&EngineId::new(engine), permit, now)
 }
--- a/crates/routing/tests/engines.rs
+++ b/crates/routing/tests/engines.rs
@@ -1,16 +1,16 @@
-//! The choice among engines and what is believed of them.
+//! Choice among engines and tracking of their state.
 
-mod engines_for_tests;
+mod engine_fixtures;
 
 use std::time::Duration;
 
-use engines_for_tests::{NOW, book, book_without, chosen, request, spec, turn};
+use engine_fixtures::{NOW, book, book_without, chosen, request, spec, turn};
 use sumacdrift_calls::EngineId;
 use sumacdrift_fleet_view::{EngineLoad, Loads, PartHeld, engine_key};
 use sumacdrift_routing::{EngineBook, EngineSpec, EntryChange, Outcome, PartNeed, PlacementRequest};
 use sumacdrift_types::Mechanism;
 
-/// A prompt of shared tokens and a line's own.
+/// A prompt of a shared part and a part of its own.
 fn prompt(own_tokens: u64) -> [PartNeed; 2] {
     [PartNeed { part: 1, tokens: 2_500 }, PartNeed { part: 2, tokens: own_tokens }]
 }
@@ -20,37 +20,37 @@
 }
 
 #[test]
-fn programs_spread_and_one_program_prefers_one_engine() {
+fn programs_spread_over_engines_and_each_prefers_one() {
     let book = book(&[("a", "z1"), ("b", "z1"), ("c", "z1")]);
     let prompt = prompt(100);
-    let of = |program: u64| chosen(&book, &turn(program, &prompt), NOW);
-    assert_eq!(of(1), of(1));
-    let engines: std::collections::BTreeSet<_> = (0..50).map(of).collect();
+    let engine_for = |program: u64| chosen(&book, &turn(program, &prompt), NOW);
+    assert_eq!(engine_for(1), engine_for(1));
+    let engines: std::collections::BTreeSet<_> = (0..50).map(engine_for).collect();
     assert_eq!(engines.len(), 3);
 }
 
 #[test]
-fn a_line_goes_on_where_its_prompt_lies_whatever_the_zone() {
+fn turn_goes_to_the_engine_that_caches_its_prompt_in_any_zone() {
     let mut book = book(&[("a", "z1"), ("b", "z2"), ("c", "z1")]);
     book.holds(held(1, "b", 2_500), NOW);
     book.holds(held(2, "b", 8_000), NOW);
     let prompt = prompt(8_300);
-    let placed = book.choose(&turn(1, &prompt), NOW).expect("an engine");
+    let placed = book.choose(&turn(1, &prompt), NOW).expect("an engine is available");
     assert_eq!(placed.engine.as_str(), "b");
     assert_eq!(placed.unread_tokens, 300);
 }
 
-/// An engine that holds a later part without the ones before it has to read it again.
+/// Tokens cached behind a gap have to be prefilled again.
 #[test]
-fn a_part_counts_only_behind_those_before_it() {
+fn cached_part_counts_only_after_all_parts_before_it() {
     let mut book = book(&[("a", "z1")]);
     book.holds(held(2, "a", 8_000), NOW);
     let prompt = prompt(8_000);
-    assert_eq!(book.choose(&turn(1, &prompt), NOW).expect("an engine").unread_tokens, 10_500);
+    assert_eq!(book.choose(&turn(1, &prompt), NOW).expect("an engine is available").unread_tokens, 10_500);
 }
 
 #[test]
-fn a_line_leaves_an_engine_that_is_too_busy() {
+fn turn_leaves_an_overloaded_engine_despite_its_cache() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     book.holds(held(1, "a", 2_500), NOW);
     book.holds(held(1, "b", 2_500), NOW);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_others_send_counts_until_it_is_old() {
+fn peer_load_counts_until_it_expires() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     let loads = |engine| Loads {
         engines: vec![EngineLoad { engine: engine_key(engine), running: 4, ..EngineLoad::default() }],
@@ -76,35 +76,35 @@
         }
     }
     let later = NOW + Duration::from_secs(5);
-    assert_eq!(book.choose(&request(&[]), later).expect("an engine").running, 0.0);
+    assert_eq!(book.choose(&request(&[]), later).expect("an engine is available").running, 0.0);
 }
 
 #[test]
-fn prompts_that_were_read_no_longer_wait() {
+fn prefilled_prompts_no_longer_count_as_queued() {
     let mut book = book(&[("a", "z1")]);
     let engine = EngineId::new("a");
     book.sent(&engine, 5_000, NOW);
-    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine").tokens_ahead, 5_000.0);
+    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine is available").tokens_ahead, 5_000.0);
     book.was_read(&engine, 5_000);
-    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine").tokens_ahead, 0.0);
+    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine is available").tokens_ahead, 0.0);
     book.ended(&engine, Outcome::Sound, NOW);
     assert!(book.loads(NOW).engines.is_empty());
 }
 
 #[test]
-fn an_engine_that_is_slow_is_left_and_tried_again_later() {
+fn slow_engine_is_avoided_and_retried_later() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     for _ in 0..30 {
         book.observe_whole(&EngineId::new("a"), 5.0, NOW);
     }
-    let of = |now, key| chosen(&book, &PlacementRequest { key, ..request(&[]) }, now);
-    assert!((0..20).all(|key| of(NOW, key).as_deref() == Some("b")));
+    let engine_at = |now, key| chosen(&book, &PlacementRequest { key, ..request(&[]) }, now);
+    assert!((0..20).all(|key| engine_at(NOW, key).as_deref() == Some("b")));
     let later = NOW + Duration::from_secs(120);
-    assert!((0..20).any(|key| of(later, key).as_deref() == Some("a")));
+    assert!((0..20).any(|key| engine_at(later, key).as_deref() == Some("a")));
 }
 
 #[test]
-fn an_open_connection_is_preferred_where_all_else_is_equal() {
+fn open_connection_breaks_ties() {
     let book = book(&[("a", "z1"), ("b", "z1")]);
     for open in ["a", "b"] {
         let is_connected = |engine: &EngineId| engine.as_str() == open;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn the_own_zone_goes_first_until_it_is_busier() {
+fn own_zone_is_preferred_until_it_is_busier() {
     let mut book = book(&[("near", "z1"), ("far", "z2")]);
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("near"));
     for _ in 0..4 {
@@ -124,24 +124,24 @@
 }
 
 #[test]
-fn an_engine_that_leaves_gets_nothing_new_and_does_not_come_back() {
+fn draining_engine_gets_no_calls_and_does_not_rejoin() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     book.upsert(EngineSpec { is_leaving: true, report: 2, ..spec("a", "z1") }, NOW);
-    let late = EngineSpec { report: 3, ..spec("a", "z1") };
-    assert_eq!(book.upsert(late, NOW), EntryChange::Nothing);
+    let delayed = EngineSpec { report: 3, ..spec("a", "z1") };
+    assert_eq!(book.upsert(delayed, NOW), EntryChange::Nothing);
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("b"));
     assert_eq!(book.usable("s", NOW), 1);
 }
 
 #[test]
-fn a_report_that_was_held_up_changes_nothing() {
+fn reordered_report_is_ignored() {
     let mut book = book(&[("a", "z1")]);
     book.upsert(EngineSpec { report: 9, is_leaving: true, ..spec("a", "z1") }, NOW);
     assert_eq!(book.upsert(EngineSpec { report: 8, ..spec("a", "z1") }, NOW), EntryChange::Nothing);
 }
 
 #[test]
-fn an_engine_that_just_went_is_the_last_resort_for_a_short_time() {
+fn removed_engine_is_a_last_resort_for_a_short_time() {
     let mut book = book(&[("a", "z1")]);
     book.remove(&EngineId::new("a"), NOW);
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("a"));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_engine_that_reappears_is_used_again() {
+fn reappearing_engine_is_used_again() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     book.remove(&EngineId::new("a"), NOW);
     assert_eq!(book.upsert(EngineSpec { report: 2, ..spec("a", "z1") }, NOW), EntryChange::Changed);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_twice_is_avoided_while_there_is_another() {
+fn engine_with_two_failures_is_avoided_if_there_is_another() {
     let mut book = book(&[("a", "z1"), ("b", "z2")]);
     let near = EngineId::new("a");
     for failures in 1..=2 {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_list_without_an_engine_means_that_it_is_gone() {
+fn listing_removes_missing_engines() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     book.replace_all(vec![spec("b", "z1")], Duration::ZERO, NOW);
     assert_eq!(book.usable("s", NOW), 1);
@@ -178,10 +178,9 @@
     assert!(book.spec(&EngineId::new("a")).is_none());
 }
 
-/// Flood trouble-1: when the store came back with 2 of 14 engines, all calls went to these until the others had
-/// reported again.
+/// Guards against sending all calls to the few engines that have reported again after a directory outage.
 #[test]
-fn after_an_outage_of_the_directory_engines_have_time_to_report_again() {
+fn missing_engines_get_a_grace_period_after_a_directory_outage() {
     let mut book = book(&[("a", "z1"), ("b", "z1"), ("c", "z1")]);
     book.replace_all(vec![spec("b", "z1")], Duration::from_secs(4), NOW);
     assert_eq!(book.usable("s", NOW), 3);
@@ -192,74 +191,74 @@
 }
 
 #[test]
-fn a_short_failure_of_the_directory_gives_no_time_to_engines_that_are_gone() {
+fn short_directory_outage_gives_no_grace_period() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
     book.replace_all(vec![spec("b", "z1")], Duration::from_millis(200), NOW);
     assert_eq!(book.usable("s", NOW), 1);
 }
 
 #[test]
-fn an_engine_that_failed_a_call_is_chosen_again_only_if_there_is_no_other() {
+fn engine_that_failed_the_call_is_chosen_again_only_if_alone() {
     let book = book(&[("a", "z1"), ("b", "z2")]);
     let failed = [EngineId::new("a")];
-    let again = PlacementRequest { rather_not: &failed, ..request(&[]) };
-    assert_eq!(chosen(&book, &again, NOW).as_deref(), Some("b"));
+    let retry = PlacementRequest { rather_not: &failed, ..request(&[]) };
+    assert_eq!(chosen(&book, &retry, NOW).as_deref(), Some("b"));
     let other = [EngineId::new("b")];
     let alone = PlacementRequest { rather_not: &failed, ..request(&other) };
     assert_eq!(chosen(&book, &alone, NOW).as_deref(), Some("a"));
 }
 
 #[test]
-fn what_is_switched_off_decides_nothing() {
+fn switched_off_mechanisms_do_not_affect_the_choice() {
     let engines = [("a", "z1"), ("b", "z2")];
     let prompt = prompt(8_000);
-    let mut blind = book_without(&[Mechanism::HeldPrompts, Mechanism::Zones], &engines);
-    let mut seeing = book(&engines);
-    for book in [&mut blind, &mut seeing] {
+    let mut without_cache = book_without(&[Mechanism::HeldPrompts, Mechanism::Zones], &engines);
+    let mut with_all = book(&engines);
+    for book in [&mut without_cache, &mut with_all] {
         book.holds(held(1, "b", 2_500), NOW);
         book.holds(held(2, "b", 8_000), NOW);
     }
-    let of = |book: &EngineBook, key| chosen(book, &turn(key, &prompt), NOW);
-    assert!((0..20).all(|key| of(&seeing, key).as_deref() == Some("b")));
-    let blindly: std::collections::BTreeSet<_> = (0..20).map(|key| of(&blind, key)).collect();
-    assert_eq!(blindly.len(), 2);
-    let mut deaf = book_without(&[Mechanism::ToldLoads, Mechanism::ToldPrompts], &engines);
-    deaf.others_told(
+    let engine_for = |book: &EngineBook, key| chosen(book, &turn(key, &prompt), NOW);
+    assert!((0..20).all(|key| engine_for(&with_all, key).as_deref() == Some("b")));
+    let without_cache_engines: std::collections::BTreeSet<_> =
+        (0..20).map(|key| engine_for(&without_cache, key)).collect();
+    assert_eq!(without_cache_engines.len(), 2);
+    let mut without_peers = book_without(&[Mechanism::ToldLoads, Mechanism::ToldPrompts], &engines);
+    without_peers.others_told(
         &Loads {
             engines: vec![EngineLoad { engine: engine_key("a"), running: 50, ..EngineLoad::default() }],
         },
         NOW,
     );
-    deaf.others_hold(held(1, "b", 2_500), NOW);
-    assert_eq!(of(&deaf, 1).as_deref(), Some("a"));
+    without_peers.others_hold(held(1, "b", 2_500), NOW);
+    assert_eq!(engine_for(&without_peers, 1).as_deref(), Some("a"));
 }
 
-/// Grown escrutinio inc-2da9: eleven engines lost every answer, and each of 56 edges found out by itself.
+/// Guards against every node finding out about a failing engine through failures of its own calls.
 #[test]
-fn an_engine_at_which_others_fail_is_avoided_before_an_own_call_fails() {
+fn engine_failing_for_peers_is_avoided_before_an_own_failure() {
     let mut book = book(&[("a", "z1"), ("b", "z1")]);
-    let told = |failed, served| {
+    let report = |failed, served| {
         let load = EngineLoad { engine: engine_key("a"), failed, served, ..EngineLoad::default() };
         Loads { engines: vec![load] }
     };
-    let avoided = |book: &EngineBook, now| {
+    let is_avoided = |book: &EngineBook, now| {
         let mut keys = 0..20;
         keys.all(|key| chosen(book, &PlacementRequest { key, ..request(&[]) }, now).as_deref() == Some("b"))
     };
-    book.others_told(&told(3, 0), NOW);
-    assert!(avoided(&book, NOW));
-    // One failure among many that are served is no sign; nor is what was told long ago.
-    book.others_told(&told(3, 20), NOW);
-    assert!(!avoided(&book, NOW));
-    book.others_told(&told(3, 0), NOW);
-    assert!(!avoided(&book, NOW + Duration::from_secs(3)));
-    // Where there is no other, it is used.
+    book.others_told(&report(3, 0), NOW);
+    assert!(is_avoided(&book, NOW));
+    // Neither a few failures among many successes nor an expired report counts.
+    book.others_told(&report(3, 20), NOW);
+    assert!(!is_avoided(&book, NOW));
+    book.others_told(&report(3, 0), NOW);
+    assert!(!is_avoided(&book, NOW + Duration::from_secs(3)));
     let other = [EngineId::new("b")];
     assert_eq!(chosen(&book, &request(&other), NOW).as_deref(), Some("a"));
 }
 
 #[test]
-fn failures_are_told_until_a_call_ends_well() {
+fn failures_are_reported_until_a_call_succeeds() {
     let mut book = book(&[("a", "z1")]);
     let engine = EngineId::new("a");
     for expected in 1..=2 {
@@ -270,7 +269,7 @@
     assert!(book.loads(NOW + Duration::from_secs(3)).engines.is_empty());
     book.sent(&engine, 0, NOW);
     book.ended(&engine, Outcome::Sound, NOW);
-    // No failures in a row any more; how many of its calls failed of late is told for as long as that is of late.
+    // Consecutive failures are reset; the counts of recent calls stay until they expire.
     let counts = EngineLoad { recent_ended: 3, recent_failed: 2, ..EngineLoad::default() };
     assert_eq!(book.loads(NOW).engines, [EngineLoad { engine: engine_key("a"), ..counts }]);
     assert!(book.loads(NOW + Duration::from_secs(3)).engines.is_empty());
--- a/crates/routing/tests/estimate.rs
+++ b/crates/routing/tests/estimate.rs
@@ -1,10 +1,10 @@
-//! The estimate of when a call ends, and what it learns from.
+//! The cost model of a call and learning of its speeds.
 
 use sumacdrift_routing::{
-    CallWork, EngineFacts, FitBounds, LearnedSpeeds, LineFit, Speeds, StreamSeen, Way, estimate,
+    CallWork, EngineState, FitBounds, LearnedSpeeds, LineFit, PathCost, Speeds, StreamSeen, estimate,
 };
 
-/// An engine that reads 40 tokens in a millisecond.
+/// 40 tokens of prefill per millisecond.
 const SPEEDS: Speeds = Speeds {
     read_millis_per_token: 0.025,
     first_millis: 20.0,
@@ -13,63 +13,63 @@
 };
 const WORK: CallWork = CallWork { events: 10.0, zone_kilobytes: 20.0, zone_calls: 1.0 };
 
-fn idle() -> EngineFacts {
-    EngineFacts {
+fn idle() -> EngineState {
+    EngineState {
         unread_tokens: 0.0,
         queued_tokens: 0.0,
         running: 0.0,
         slots: 16.0,
         slowness: 1.0,
-        way: Way::IN_ZONE,
+        path: PathCost::IN_ZONE,
     }
 }
 
-fn total(facts: EngineFacts) -> f64 {
-    estimate(&facts, &WORK, &SPEEDS).total()
+fn total(engine: EngineState) -> f64 {
+    estimate(&engine, &WORK, &SPEEDS).total()
 }
 
 #[test]
-fn an_idle_engine_takes_its_first_time_and_its_events() {
+fn idle_engine_takes_first_event_time_plus_event_times() {
     let idle = estimate(&idle(), &WORK, &SPEEDS);
     assert_eq!(idle.own_millis, 20.0 + 10.0 * 15.0);
-    assert_eq!((idle.others_millis, idle.zone_millis), (0.0, 0.0));
+    assert_eq!((idle.imposed_millis, idle.zone_millis), (0.0, 0.0));
 }
 
-/// A long chain that is read again costs more than a few calls under way where it lies.
+/// Prefilling a long prompt again costs more than a few calls in flight at the engine that caches it.
 #[test]
-fn a_lost_cache_outweighs_a_few_calls_and_not_any_number() {
-    let elsewhere = EngineFacts { unread_tokens: 10_000.0, ..idle() };
-    let with_others = |running| EngineFacts { running, unread_tokens: 500.0, ..idle() };
-    assert!(total(with_others(4.0)) < total(elsewhere));
-    assert!(total(with_others(16.0)) > total(elsewhere));
+fn cache_outweighs_a_few_calls_in_flight_but_not_many() {
+    let uncached = EngineState { unread_tokens: 10_000.0, ..idle() };
+    let cached_with = |running| EngineState { running, unread_tokens: 500.0, ..idle() };
+    assert!(total(cached_with(4.0)) < total(uncached));
+    assert!(total(cached_with(16.0)) > total(uncached));
 }
 
 #[test]
-fn tokens_queued_by_others_count_like_own_ones() {
-    let queued = EngineFacts { queued_tokens: 4_000.0, ..idle() };
-    let unread = EngineFacts { unread_tokens: 4_000.0, ..idle() };
+fn queued_tokens_of_other_calls_cost_the_same_as_own_ones() {
+    let queued = EngineState { queued_tokens: 4_000.0, ..idle() };
+    let unread = EngineState { unread_tokens: 4_000.0, ..idle() };
     assert_eq!(total(queued), total(unread));
 }
 
 #[test]
-fn reading_holds_up_those_that_run() {
-    let busy = EngineFacts { running: 8.0, unread_tokens: 4_000.0, ..idle() };
-    assert!(estimate(&busy, &WORK, &SPEEDS).others_millis >= 8.0 * 100.0);
+fn prefill_delays_calls_in_flight() {
+    let busy = EngineState { running: 8.0, unread_tokens: 4_000.0, ..idle() };
+    assert!(estimate(&busy, &WORK, &SPEEDS).imposed_millis >= 8.0 * 100.0);
 }
 
 #[test]
-fn a_full_engine_makes_a_call_wait() {
-    let almost = EngineFacts { running: 15.0, ..idle() };
-    let full = EngineFacts { running: 32.0, ..idle() };
-    let own = |facts| estimate(&facts, &WORK, &SPEEDS).own_millis;
+fn full_engine_queues_a_call() {
+    let almost = EngineState { running: 15.0, ..idle() };
+    let full = EngineState { running: 32.0, ..idle() };
+    let own = |engine| estimate(&engine, &WORK, &SPEEDS).own_millis;
     assert!(own(full) > 2.0 * own(almost));
 }
 
 #[test]
-fn a_slow_engine_and_another_zone_cost() {
-    assert!(total(EngineFacts { slowness: 2.0, ..idle() }) > 1.9 * total(idle()));
-    let way = Way { round_trip_millis: 2.0, millis_per_kilobyte: 0.15 };
-    let in_another_zone = EngineFacts { way, ..idle() };
+fn slowness_and_another_zone_add_cost() {
+    assert!(total(EngineState { slowness: 2.0, ..idle() }) > 1.9 * total(idle()));
+    let path = PathCost { round_trip_millis: 2.0, millis_per_kilobyte: 0.15 };
+    let in_another_zone = EngineState { path, ..idle() };
     assert_eq!(estimate(&in_another_zone, &WORK, &SPEEDS).zone_millis, 2.0 + 20.0 * 0.15);
     assert!(total(in_another_zone) > total(idle()));
 }
@@ -77,8 +77,8 @@
 const BOUNDS: FitBounds = FitBounds { slope: (0.001, 1.0), intercept: (0.0, 500.0) };
 
 #[test]
-fn a_fit_finds_rate_and_fixed_part_whatever_it_started_from() {
-    let mut fit = LineFit::starting(100.0, 0.5, 1_000.0, BOUNDS);
+fn fit_converges_from_a_wrong_prior() {
+    let mut fit = LineFit::with_prior(100.0, 0.5, 1_000.0, BOUNDS);
     for step in 0..2_000_u32 {
         let x = f64::from(step * 37 % 1_000);
         fit.observe(x, 19.0 + 0.026 * x);
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn a_fit_stays_within_its_bounds_and_sound_where_nothing_varies() {
-    let mut fit = LineFit::starting(20.0, 0.02, 1_000.0, BOUNDS);
+fn fit_stays_within_bounds_if_nothing_varies() {
+    let mut fit = LineFit::with_prior(20.0, 0.02, 1_000.0, BOUNDS);
     for _ in 0..5_000 {
         fit.observe(10.0, 20.0);
     }
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn an_answer_that_hung_teaches_nothing_of_speed() {
+fn hung_answer_does_not_affect_learned_speeds() {
     let mut learned = LearnedSpeeds::default();
     let before = learned.speeds();
     assert!(learned.observe(&seen(100.0, 1.0, 100.0)) > 6.0);
--- a/crates/routing/tests/evacuation.rs
+++ b/crates/routing/tests/evacuation.rs
@@ -1,10 +1,10 @@
-//! Engines of evacuated zones get nothing new, whatever order reports arrive in.
+//! Engines of evacuated zones get no new calls, whatever the order in which reports arrive.
 
-mod engines_for_tests;
+mod engine_fixtures;
 
 use std::sync::Arc;
 
-use engines_for_tests::{NOW, book, chosen, may_send, request};
+use engine_fixtures::{NOW, book, chosen, may_send, request};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,29 +16,29 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_until_the_end() {
+fn evacuated_zone_gets_no_calls_until_the_end() {
     let mut book = book(&[("a", "z1"), ("b", "z2")]);
-    let change = book.evacuate(evacuation("z1", 5), NOW).expect("news");
+    let change = book.evacuate(evacuation("z1", 5), NOW).expect("a change");
     assert!(change.is_evacuated);
     for key in 0..20 {
         assert_eq!(chosen(&book, &PlacementRequest { key, ..request(&[]) }, NOW).as_deref(), Some("b"));
     }
     assert!(!may_send(&book, "a", None, NOW));
-    assert!(!book.end_evacuation("z1", 5, NOW).expect("news").is_evacuated);
+    assert!(!book.end_evacuation("z1", 5, NOW).expect("a change").is_evacuated);
     assert!(may_send(&book, "a", None, NOW));
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("a"), "the own zone is nearer");
+    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("a"), "the own zone is preferred");
 }
 
 #[test]
-fn engines_that_are_added_to_an_evacuated_zone_get_nothing() {
+fn engine_added_to_an_evacuated_zone_gets_no_calls() {
     let mut book = book(&[("a", "z1")]);
     book.evacuate(evacuation("z1", 5), NOW);
-    book.upsert(engines_for_tests::spec("late", "z1"), NOW);
+    book.upsert(engine_fixtures::spec("late", "z1"), NOW);
     assert_eq!(chosen(&book, &request(&[]), NOW), None);
 }
 
 #[test]
-fn an_engine_is_not_chosen_as_the_last_one_or_the_only_one() {
+fn evacuated_engine_is_not_chosen_even_if_no_other_may_be() {
     let mut book = book(&[("a", "z1"), ("b", "z2")]);
     book.evacuate(evacuation("z1", 5), NOW);
     let only = EngineId::new("a");
@@ -48,21 +48,21 @@
 }
 
 #[test]
-fn an_old_report_neither_begins_nor_ends_an_evacuation() {
+fn stale_report_neither_begins_nor_ends_an_evacuation() {
     let mut book = book(&[("a", "z1")]);
     book.evacuate(evacuation("z1", 8), NOW);
     assert_eq!(book.end_evacuation("z1", 7, NOW), None);
-    assert!(book.set_evacuations(Vec::new(), 7, NOW).is_empty(), "a listing that is behind");
+    assert!(book.set_evacuations(Vec::new(), 7, NOW).is_empty(), "a stale listing");
     assert!(!may_send(&book, "a", None, NOW));
     assert_eq!(book.set_evacuations(Vec::new(), 9, NOW).len(), 1);
     assert_eq!(book.evacuate(evacuation("z1", 8), NOW), None);
-    assert!(book.set_evacuations(vec![evacuation("z1", 8)], 8, NOW).is_empty(), "a listing that is behind");
+    assert!(book.set_evacuations(vec![evacuation("z1", 8)], 8, NOW).is_empty(), "a stale listing");
     assert!(may_send(&book, "a", None, NOW));
 }
 
-/// However many zones were ever evacuated, one that is stays so.
+/// Eviction of remembered zones must not end an evacuation.
 #[test]
-fn what_is_forgotten_is_over() {
+fn only_ended_evacuations_are_evicted() {
     let mut book = book(&[("a", "z1")]);
     book.evacuate(evacuation("z1", 1), NOW);
     for zone in 0..3_000_u64 {
@@ -73,37 +73,37 @@
     assert!(!may_send(&book, "a", None, NOW));
 }
 
-/// A report: a begin, an end, or everything at a revision.
+/// Reports with their revision; a listing also has the revision of the evacuation listed, if any.
 enum Report {
     Begin(u64),
     End(u64),
-    All(u64, Option<u64>),
+    Listing(u64, Option<u64>),
 }
 
-/// Whatever subset of reports arrives in whatever order, the newest one that arrived counts.
+/// The report of the highest revision wins for any subset and order of reports.
 #[test]
-fn the_newest_report_counts_in_any_order() {
+fn newest_report_wins_in_any_order() {
     for seed in 0..10_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let count: u64 = random.random_range(1..6);
-        // Evacuated at 10, 30, …, taken back at 20, 40, …; listings in between.
+        // Evacuated at 10, 30, …, ended at 20, 40, …; listings in between.
         let mut reports = Vec::new();
         for step in 0..count {
             let (begun, ended) = (10 + step * 20, 20 + step * 20);
             reports.push((begun, Report::Begin(begun)));
-            reports.push((begun + 5, Report::All(begun + 5, Some(begun))));
+            reports.push((begun + 5, Report::Listing(begun + 5, Some(begun))));
             reports.push((ended, Report::End(ended)));
-            reports.push((ended + 5, Report::All(ended + 5, None)));
+            reports.push((ended + 5, Report::Listing(ended + 5, None)));
         }
         reports.shuffle(&mut random);
         reports.truncate(random.random_range(1..=reports.len()));
-        let newest = reports.iter().map(|(at, _)| *at).max().expect("a report");
+        let newest = reports.iter().map(|(at, _)| *at).max().expect("at least one report");
         let mut book = book(&[("a", "z1")]);
         for (_, report) in reports {
             match report {
                 Report::Begin(at) => drop(book.evacuate(evacuation("z1", at), NOW)),
                 Report::End(at) => drop(book.end_evacuation("z1", at, NOW)),
-                Report::All(at, begun) => {
+                Report::Listing(at, begun) => {
                     let all = begun.map(|begun| evacuation("z1", begun)).into_iter().collect();
                     book.set_evacuations(all, at, NOW);
                 }
--- a/crates/routing/tests/alike_engines.rs
+++ b/crates/routing/tests/interchangeable_engines.rs
@@ -1,12 +1,12 @@
-//! Engines of which nothing is known are alike, so a choice weighs only the ones among them that a call prefers: it must choose as if
-//! it weighed all, and its work must not grow with the fleet.
+//! Grouping interchangeable engines: a choice must equal that among all engines, and the number of candidates must
+//! not grow with the fleet.
 
-mod engines_for_tests;
+mod engine_fixtures;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use engines_for_tests::{ANYWHERE, NOW, book, spec};
+use engine_fixtures::{ANYWHERE, NOW, book, spec};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_calls::EngineId;
@@ -22,44 +22,44 @@
     format!("e{engine}")
 }
 
-/// Two books that are told the same; only one of them sorts out the engines that are alike.
-struct Pair {
-    all_weighed: EngineBook,
-    sorted_out: EngineBook,
+/// Two books with the same input, of which only one groups interchangeable engines.
+struct BookPair {
+    ungrouped: EngineBook,
+    grouped: EngineBook,
     connected: BTreeSet<EngineId>,
     running: Vec<EngineId>,
     now: Timestamp,
 }
 
-impl Pair {
+impl BookPair {
     fn new() -> Self {
         let mut pair = Self {
-            all_weighed: book(&[]),
-            sorted_out: book(&[]),
+            ungrouped: book(&[]),
+            grouped: book(&[]),
             connected: BTreeSet::new(),
             running: Vec::new(),
             now: NOW,
         };
         for engine in 0..ENGINES {
-            pair.both(|book, now| {
+            pair.apply_to_both(|book, now| {
                 book.upsert(spec(&name(engine), ZONES[engine % ZONES.len()]), now);
             });
         }
         pair
     }
 
-    fn both(&mut self, change: impl Fn(&mut EngineBook, Timestamp)) {
-        change(&mut self.all_weighed, self.now);
-        change(&mut self.sorted_out, self.now);
+    fn apply_to_both(&mut self, change: impl Fn(&mut EngineBook, Timestamp)) {
+        change(&mut self.ungrouped, self.now);
+        change(&mut self.grouped, self.now);
     }
 
     fn settle(&mut self) {
         let connected = &self.connected;
-        self.sorted_out.settle(|id| connected.contains(id), self.now);
+        self.grouped.settle(|id| connected.contains(id), self.now);
     }
 
-    /// Chooses in both books and begins the call there.
-    fn call(&mut self, random: &mut ChaCha8Rng) {
+    /// Chooses in both books and sends the call to the chosen engine.
+    fn place_call(&mut self, random: &mut ChaCha8Rng) {
         let work = match random.random_range(0..3) {
             0 => RequestedWork::Stream { parts: &PARTS },
             sticky => RequestedWork::Whole { usual: Duration::from_millis(40), is_sticky: sticky == 1 },
@@ -83,25 +83,25 @@
             rather_not: &rather_not,
             only: (random.random_range(0..20) == 0).then_some(&only),
         };
-        let expected = self.all_weighed.choose(&request, self.now);
-        let chosen = self.sorted_out.choose(&request, self.now);
+        let expected = self.ungrouped.choose(&request, self.now);
+        let chosen = self.grouped.choose(&request, self.now);
         let engine =
             |placed: &Option<sumacdrift_routing::Placed>| placed.as_ref().map(|placed| placed.engine.clone());
         assert_eq!(engine(&chosen), engine(&expected), "{request_key}", request_key = request.key);
         let Some(placed) = chosen else { return };
         assert_eq!(Some(placed.estimate), expected.map(|expected| expected.estimate));
-        self.both(|book, now| book.sent(&placed.engine, placed.unread_tokens, now));
+        self.apply_to_both(|book, now| book.sent(&placed.engine, placed.unread_tokens, now));
         self.connected.insert(placed.engine.clone());
         self.running.push(placed.engine);
     }
 
-    fn end_a_call(&mut self, random: &mut ChaCha8Rng) {
+    fn end_call(&mut self, random: &mut ChaCha8Rng) {
         if self.running.is_empty() {
             return;
         }
         let engine = self.running.swap_remove(random.random_range(0..self.running.len()));
         let outcome = if random.random_range(0..6) == 0 { Outcome::Faulty } else { Outcome::Sound };
-        self.both(|book, now| {
+        self.apply_to_both(|book, now| {
             book.was_read(&engine, u64::MAX);
             book.ended(&engine, outcome, now);
             let held = PartHeld { part: 1, engine: engine_key(engine.as_str()), tokens: 2_560 };
@@ -109,7 +109,7 @@
         });
     }
 
-    fn tell_loads(&mut self, random: &mut ChaCha8Rng) {
+    fn report_loads(&mut self, random: &mut ChaCha8Rng) {
         let load = |random: &mut ChaCha8Rng| EngineLoad {
             engine: engine_key(&name(random.random_range(0..ENGINES))),
             running: random.random_range(0..5),
@@ -117,24 +117,24 @@
             ..EngineLoad::default()
         };
         let loads = Loads { engines: (0..random.random_range(0..12)).map(|_| load(random)).collect() };
-        self.both(|book, now| book.others_told(&loads, now));
+        self.apply_to_both(|book, now| book.others_told(&loads, now));
     }
 
-    fn change_an_entry(&mut self, random: &mut ChaCha8Rng) {
+    fn change_entry(&mut self, random: &mut ChaCha8Rng) {
         let engine = random.random_range(0..ENGINES);
         let mut changed = spec(&name(engine), ZONES[engine % ZONES.len()]);
         match random.random_range(0..3) {
-            0 => self.both(|book, now| {
+            0 => self.apply_to_both(|book, now| {
                 book.remove(&changed.id, now);
             }),
             1 => {
                 changed.cold_left = Duration::from_millis(300);
                 changed.report = random.random();
-                self.both(|book, now| {
+                self.apply_to_both(|book, now| {
                     book.upsert(changed.clone(), now);
                 });
             }
-            _ => self.both(|book, now| {
+            _ => self.apply_to_both(|book, now| {
                 book.upsert(changed.clone(), now);
             }),
         }
@@ -142,16 +142,16 @@
 }
 
 #[test]
-fn a_choice_is_the_same_as_if_all_engines_were_weighed() {
+fn choice_equals_that_among_all_engines() {
     for seed in 0..60 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut pair = Pair::new();
+        let mut pair = BookPair::new();
         for _ in 0..400 {
             match random.random_range(0..12) {
-                0..=4 => pair.call(&mut random),
-                5..=7 => pair.end_a_call(&mut random),
-                8 => pair.tell_loads(&mut random),
-                9 => pair.change_an_entry(&mut random),
+                0..=4 => pair.place_call(&mut random),
+                5..=7 => pair.end_call(&mut random),
+                8 => pair.report_loads(&mut random),
+                9 => pair.change_entry(&mut random),
                 10 => pair.settle(),
                 _ => {
                     pair.connected.pop_first();
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn the_work_of_a_choice_does_not_grow_with_the_fleet() {
+fn candidate_count_is_independent_of_fleet_size() {
     const IN_USE: usize = 20;
-    let weighed = [250, 500, 1_000, 2_000].map(|engines| {
+    let candidates = [250, 500, 1_000, 2_000].map(|engines| {
         let mut book = book(&[]);
         for engine in 0..engines {
             book.upsert(spec(&name(engine), ZONES[engine % ZONES.len()]), NOW);
@@ -174,8 +174,8 @@
         for engine in 0..IN_USE {
             book.sent(&EngineId::new(&name(engine)), 100, NOW);
         }
-        let request = engines_for_tests::request(&[]);
-        book.choose(&request, NOW).expect("an engine").candidates
+        let request = engine_fixtures::request(&[]);
+        book.choose(&request, NOW).expect("an engine is available").candidates
     });
-    assert!(weighed.iter().all(|count| *count == weighed[0]), "{weighed:?}");
+    assert!(candidates.iter().all(|count| *count == candidates[0]), "{candidates:?}");
 }
--- a/crates/routing/tests/regions.rs
+++ b/crates/routing/tests/regions.rs
@@ -1,11 +1,11 @@
-//! Engines near and far, and calls that are bound to regions.
+//! Choice by network distance, and calls that are restricted to regions.
 
-mod engines_for_tests;
+mod engine_fixtures;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use engines_for_tests::{NOW, chosen, request, spec, turn};
+use engine_fixtures::{NOW, chosen, request, spec, turn};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_calls::EngineId;
@@ -17,14 +17,14 @@
 const ZONES: [(&str, &str); 4] = [("e1", "east"), ("e2", "east"), ("w1", "west"), ("s1", "south")];
 
 fn region(name: &str) -> RegionName {
-    RegionName::new(name).expect("a name")
+    RegionName::new(name).expect("a valid region name")
 }
 
 fn only(regions: &[&str]) -> AllowedRegions {
     AllowedRegions::only(regions.iter().map(|name| region(name)))
 }
 
-/// A book at a node in `e1`.
+/// A book of a node in `e1`.
 fn book(engines: &[(&str, &str)]) -> EngineBook {
     let places = Places::new(ZONES.map(|(zone, of)| (Arc::from(zone), region(of))));
     let location = Location { zone: Arc::from("e1"), places: Arc::new(places) };
@@ -36,12 +36,12 @@
     book
 }
 
-fn connected(book: &mut EngineBook, id: &str, millis: f64) {
+fn record_connect_time(book: &mut EngineBook, id: &str, millis: f64) {
     book.connected(&EngineId::new(id), Duration::from_secs_f64(millis / 1e3));
 }
 
 #[test]
-fn calls_go_to_the_own_zone_then_the_own_region_then_elsewhere() {
+fn calls_prefer_own_zone_then_own_region_then_other_regions() {
     let mut book = book(&[("here", "e1"), ("near", "e2"), ("far", "w1")]);
     for gone in ["here", "near", "far"] {
         assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some(gone));
@@ -49,26 +49,25 @@
     }
 }
 
-/// Ways of 0.2, 1.4 and 30 ms: work spills over to another region when waiting here takes longer than the way there.
+/// Calls spill over to another region when waiting here takes longer than the round trip.
 #[test]
-fn work_spills_over_by_the_way_that_was_measured() {
+fn calls_spill_over_by_measured_round_trip() {
     for (one_way, spills_at) in [(0.2, 1..=8), (1.4, 1..=8), (30.0, 5..=40)] {
         let mut book = book(&[("here", "e1"), ("far", "w1")]);
-        connected(&mut book, "here", 1.4);
-        connected(&mut book, "far", 1.0 + 2.0 * one_way);
+        record_connect_time(&mut book, "here", 1.4);
+        record_connect_time(&mut book, "far", 1.0 + 2.0 * one_way);
         let calls = (0..60).find(|_| {
             let is_far = chosen(&book, &request(&[]), NOW).as_deref() == Some("far");
             book.sent(&EngineId::new("here"), 0, NOW);
             is_far
         });
-        let calls = calls.expect("at some load work spills over");
+        let calls = calls.expect("calls spill over at some load");
         assert!(spills_at.contains(&calls), "{calls} calls here at {one_way} ms one way");
     }
 }
 
-/// It comes back as soon as the load here is gone.
 #[test]
-fn work_comes_back_when_there_is_room_again() {
+fn calls_return_when_local_capacity_is_free() {
     let mut book = book(&[("here", "e1"), ("far", "w1")]);
     (0..60).for_each(|_| book.sent(&EngineId::new("here"), 0, NOW));
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("far"));
@@ -78,21 +77,24 @@
     assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("here"));
 }
 
-/// A shorter connection is believed at once, a longer one hardly: it is mostly the engine's doing.
+/// A shorter connection time is adopted at once; a longer one has little weight, as the engine is the likely cause.
 #[test]
-fn the_way_is_the_shortest_that_was_seen_of_late() {
+fn round_trip_follows_the_shortest_recent_connection() {
     let mut book = book(&[("far", "w1")]);
     let far = EngineId::new("far");
-    assert!(book.round_trip(&far) > Duration::from_millis(20), "what places tell until a connection is made");
-    connected(&mut book, "far", 90.0);
-    connected(&mut book, "far", 61.0);
-    connected(&mut book, "far", 161.0);
+    assert!(
+        book.round_trip(&far) > Duration::from_millis(20),
+        "estimated from the location before the first connection"
+    );
+    record_connect_time(&mut book, "far", 90.0);
+    record_connect_time(&mut book, "far", 61.0);
+    record_connect_time(&mut book, "far", 161.0);
     assert_eq!(book.round_trip(&far).as_millis(), 66);
 }
 
-/// A short prompt that lies in another region is read again here; a long one is worth the way.
+/// A short prompt cached in another region is prefilled again; a long one is worth the round trip.
 #[test]
-fn a_prompt_in_another_region_is_followed_where_reading_it_takes_longer() {
+fn remote_cache_is_used_only_for_a_long_prompt() {
     for (tokens, expected) in [(500, "here"), (60_000, "far")] {
         let mut book = book(&[("here", "e1"), ("far", "w1")]);
         let held = u32::try_from(tokens).expect("tokens");
@@ -103,12 +105,12 @@
 }
 
 #[test]
-fn a_bound_call_stays_in_its_regions_whatever_else_is_there() {
+fn region_bound_call_never_leaves_its_regions() {
     let mut book = book(&[("here", "e1"), ("far", "w1"), ("unknown", "x9")]);
     let west = only(&["west"]);
     let bound = PlacementRequest { regions: &west, ..request(&[]) };
     assert_eq!(chosen(&book, &bound, NOW).as_deref(), Some("far"));
-    // Neither an engine that fails, nor one that is gone, nor an evacuated zone is made up for elsewhere.
+    // Not even a failing, removed or evacuated engine is replaced by one outside the regions.
     book.remove(&EngineId::new("far"), NOW);
     assert_eq!(chosen(&book, &bound, NOW + Duration::from_secs(5)), None);
     let both = only(&["west", "east"]);
@@ -119,9 +121,9 @@
     assert_eq!(chosen(&book, &unbound, NOW + Duration::from_secs(5)).as_deref(), Some("unknown"));
 }
 
-/// Whatever is known of engines and whichever regions are allowed, no engine elsewhere is ever chosen.
+/// No engine outside the allowed regions is chosen in any state.
 #[test]
-fn no_seed_leads_out_of_the_allowed_regions() {
+fn chosen_engine_is_always_in_allowed_regions() {
     let names = ["east", "west", "south"];
     for seed in 0..10_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -143,7 +145,7 @@
         let key = random.random();
         let bound = PlacementRequest { regions: &regions, key, ..request(&[]) };
         let Some(engine) = chosen(&book, &bound, NOW) else { continue };
-        let (_, of) = zones.iter().find(|(id, _)| *id == engine).expect("an engine");
+        let (_, of) = zones.iter().find(|(id, _)| *id == engine).expect("an engine is available");
         assert!(
             allowed.is_empty() || allowed.contains(of),
             "seed {seed}: {engine} in {of}, allowed {allowed:?}"
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: the longest prefix wins, versions only rise, shares are kept.
+//! Routes: longest prefix, version order and weighted shares.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 };
 
 fn route(name: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
-    let part =
+    let weighted =
         |(service, weight): &(&str, u32)| WeightedService { service: (*service).into(), weight: *weight };
     Route {
         name: name.into(),
         host: "Host.Example".to_owned(),
         prefix: prefix.to_owned(),
-        services: services.iter().map(part).collect(),
+        services: services.iter().map(weighted).collect(),
         rules: CallRules {
             kind: CallKind::Repeatable,
             max_engines: 1,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_whatever_the_order() {
+fn longest_prefix_wins_in_any_order() {
     let routes = vec![route("short", "/a/", &[("s", 1)]), route("long", "/a/b/", &[("s", 1)])];
     let table = table(1, routes);
     let found = |path| table.find("host.example:8080", path).map(|route| route.name.to_string());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_older_version_never_replaces_a_newer_one() {
+fn older_version_never_replaces_a_newer_one() {
     let mut routes = Routes::default();
     assert!(routes.apply(table(5, vec![route("new", "/new/", &[("s", 1)])])));
     assert!(!routes.apply(table(5, Vec::new())));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn each_service_gets_its_share_over_any_hundred_calls() {
+fn each_service_gets_its_share_in_any_hundred_calls() {
     let mut routes = Routes::default();
     routes.apply(table(1, vec![route("split", "/", &[("a", 90), ("b", 10)])]));
     let served: Vec<String> = (0..1000)
@@ -79,13 +79,13 @@
 }
 
 #[test]
-fn callers_have_ranks_where_routes_or_tenants_differ() {
-    let of_rank = |name: &str, priority: u32| {
+fn table_has_ranks_if_routes_differ_in_priority() {
+    let route_of_rank = |name: &str, priority: u32| {
         let mut route = route(name, &format!("/{name}/"), &[("s", 1)]);
         route.rules.priority = priority;
         route
     };
-    assert!(!table(1, vec![of_rank("a", 1), of_rank("b", 1)]).has_ranks());
-    assert!(table(1, vec![of_rank("a", 1), of_rank("b", 2)]).has_ranks());
+    assert!(!table(1, vec![route_of_rank("a", 1), route_of_rank("b", 1)]).has_ranks());
+    assert!(table(1, vec![route_of_rank("a", 1), route_of_rank("b", 2)]).has_ranks());
     assert!(!table(1, Vec::new()).has_ranks());
 }
--- a/crates/routing/tests/fleet_for_tests/mod.rs
+++ b/crates/routing/tests/simulated_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of edges before engines of one service, on a virtual clock: calls, their ends, and news that are some time old.
+//! Simulated fleet of edges and engines of one service on a virtual clock: calls, outcomes and delayed load reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,30 +16,27 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const CALL_TIME: Duration = Duration::from_millis(100);
-/// An edge tells of its calls after a time drawn between these milliseconds.
-const TELLS_EVERY_MILLIS: std::ops::Range<u64> = 40..100;
-/// How old news are when an edge takes them in.
-const NEWS_AGE: Duration = Duration::from_millis(300);
+/// Range of the random interval between an edge's reports.
+const REPORT_INTERVAL_MILLIS: std::ops::Range<u64> = 40..100;
+/// Delay until an edge receives a report.
+const REPORT_DELAY: Duration = Duration::from_millis(300);
 
-/// How an edge behaves.
+/// Software version of an edge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Build {
-    /// As it is.
-    Now,
+    Current,
     /// With outlier ejection switched off.
-    Without,
-    /// Of a version that knows nothing of outlier ejection and tells no counts.
+    EjectionOff,
+    /// A version without outlier ejection, which reports no counts of recent calls.
     Old,
 }
 
-/// What calls ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
     Stream,
     Whole,
 }
 
-/// What is played.
 pub struct Scenario {
     pub seed: u64,
     pub builds: Vec<Build>,
@@ -47,51 +44,47 @@
     pub slots: usize,
     pub work: Work,
     pub calls_per_second: f64,
-    pub lasts: Duration,
-    /// Chance that a call at an engine that ends at a time has failed.
-    pub fails: Box<dyn Fn(usize, Timestamp) -> f64>,
+    pub duration: Duration,
+    /// Failure probability of a call, by engine and time of its end.
+    pub failure_chance: Box<dyn Fn(usize, Timestamp) -> f64>,
 }
 
-/// A call, as it was placed and as it ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Played {
+pub struct SimulatedCall {
     pub edge: usize,
     pub engine: usize,
-    pub begun: Timestamp,
+    pub started: Timestamp,
     pub ended: Timestamp,
     pub has_failed: bool,
 }
 
-/// What came of it.
 pub struct Result {
-    pub calls: Vec<Played>,
-    /// Changes, with the edge and the time.
+    pub calls: Vec<SimulatedCall>,
+    /// Edge, time and change.
     pub changes: Vec<(usize, Timestamp, OutlierChange)>,
-    /// Most engines that any edge had put aside at a time.
-    pub most_aside: usize,
+    /// Maximum number of engines that any edge had ejected at a time.
+    pub max_ejected: usize,
 }
 
 impl Result {
-    /// Calls that failed.
     pub fn failures(&self) -> usize {
         self.calls.iter().filter(|call| call.has_failed).count()
     }
 
-    /// The part of all calls that began within a time which an engine got.
+    /// Fraction of the calls started within a time span that an engine got.
     pub fn share(&self, engine: usize, from: Timestamp, to: Timestamp) -> f64 {
-        let within = || self.calls.iter().filter(|call| call.begun >= from && call.begun < to);
+        let within = || self.calls.iter().filter(|call| call.started >= from && call.started < to);
         within().filter(|call| call.engine == engine).count() as f64 / within().count() as f64
     }
 
-    /// When an edge put an engine aside for the first time.
-    pub fn first_put_aside(&self, edge: usize) -> Option<Timestamp> {
+    pub fn first_ejection(&self, edge: usize) -> Option<Timestamp> {
         let mut changes = self.changes.iter();
-        let is_put_aside = |change: &OutlierChange| matches!(change.kind, OutlierChangeKind::PutAside { .. });
-        changes.find(|(of, _, change)| *of == edge && is_put_aside(change)).map(|(_, now, _)| *now)
+        let is_ejected = |change: &OutlierChange| matches!(change.kind, OutlierChangeKind::PutAside { .. });
+        changes.find(|(of, _, change)| *of == edge && is_ejected(change)).map(|(_, now, _)| *now)
     }
 
-    /// How often edges put an engine aside.
-    pub fn put_aside(&self) -> usize {
+    /// Number of ejections by all edges.
+    pub fn ejections(&self) -> usize {
         let changes = self.changes.iter();
         changes.filter(|(_, _, change)| matches!(change.kind, OutlierChangeKind::PutAside { .. })).count()
     }
@@ -101,14 +94,14 @@
     book: EngineBook,
     build: Build,
     inbox: VecDeque<(Timestamp, Loads)>,
-    tells_at: Timestamp,
+    next_report_at: Timestamp,
 }
 
 struct Fleet<'a> {
     scenario: &'a Scenario,
     edges: Vec<Edge>,
     board: Board,
-    under_way: VecDeque<Played>,
+    in_flight: VecDeque<SimulatedCall>,
     random: ChaCha8Rng,
     result: Result,
 }
@@ -121,7 +114,6 @@
     EngineId::new(&format!("engine {engine:03}"))
 }
 
-/// A book as an edge has it.
 pub fn edge_book(engines: usize, slots: usize, off: SwitchedOff) -> EngineBook {
     let health = HealthSettings {
         failures_to_open: 2,
@@ -146,17 +138,16 @@
     book
 }
 
-/// Plays a scenario.
-pub fn play(scenario: &Scenario) -> Result {
+pub fn simulate(scenario: &Scenario) -> Result {
     let mut fleet = Fleet::new(scenario);
     let mut now = Timestamp::default();
-    while now < Timestamp::default() + scenario.lasts {
+    while now < Timestamp::default() + scenario.duration {
         now = now + STEP;
         fleet.end_calls(now);
         fleet.exchange(now);
         fleet.begin_calls(now);
-        let aside = fleet.edges.iter().map(|edge| edge.book.engines_put_aside(now)).max();
-        fleet.result.most_aside = fleet.result.most_aside.max(aside.unwrap_or(0));
+        let ejected = fleet.edges.iter().map(|edge| edge.book.engines_put_aside(now)).max();
+        fleet.result.max_ejected = fleet.result.max_ejected.max(ejected.unwrap_or(0));
     }
     fleet.result
 }
@@ -165,51 +156,52 @@
     fn new(scenario: &'a Scenario) -> Self {
         let edge = |build: &Build| {
             let off = match build {
-                Build::Now => SwitchedOff::default(),
-                Build::Without | Build::Old => SwitchedOff::default().with(Mechanism::OutlierEjection),
+                Build::Current => SwitchedOff::default(),
+                Build::EjectionOff | Build::Old => SwitchedOff::default().with(Mechanism::OutlierEjection),
             };
             Edge {
                 book: edge_book(scenario.engines, scenario.slots, off),
                 build: *build,
                 inbox: VecDeque::new(),
-                tells_at: Timestamp::default(),
+                next_report_at: Timestamp::default(),
             }
         };
         Self {
             scenario,
             edges: scenario.builds.iter().map(edge).collect(),
             board: Board::new(BoardSizes { parts: 64, keep_parts_for: Duration::from_secs(10) }),
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             random: ChaCha8Rng::seed_from_u64(scenario.seed),
-            result: Result { calls: Vec::new(), changes: Vec::new(), most_aside: 0 },
+            result: Result { calls: Vec::new(), changes: Vec::new(), max_ejected: 0 },
         }
     }
 
-    fn judge(&mut self, edge: usize, now: Timestamp) {
+    fn evaluate(&mut self, edge: usize, now: Timestamp) {
         let changes = self.edges[edge].book.judge_outliers(now);
         self.result.changes.extend(changes.into_iter().map(|change| (edge, now, change)));
     }
 
     fn end_calls(&mut self, now: Timestamp) {
-        while self.under_way.front().is_some_and(|call| call.ended <= now) {
-            let Some(mut call) = self.under_way.pop_front() else { return };
-            let chance = (self.scenario.fails)(call.engine, now);
+        while self.in_flight.front().is_some_and(|call| call.ended <= now) {
+            let Some(mut call) = self.in_flight.pop_front() else { return };
+            let chance = (self.scenario.failure_chance)(call.engine, now);
             call.has_failed = self.random.random::<f64>() < chance;
             let outcome = if call.has_failed { Outcome::Faulty } else { Outcome::Sound };
             self.edges[call.edge].book.ended(&engine_id(call.engine), outcome, now);
             if call.has_failed {
-                self.judge(call.edge, now);
+                self.evaluate(call.edge, now);
             }
             self.result.calls.push(call);
         }
     }
 
-    /// Edges whose turn it is tell of their calls, and all take in what is old enough by now.
+    /// Sends the reports of edges that are due and delivers those whose delay has passed.
     fn exchange(&mut self, now: Timestamp) {
         for number in 0..self.edges.len() {
             let edge = &mut self.edges[number];
-            if now >= edge.tells_at {
-                edge.tells_at = now + Duration::from_millis(self.random.random_range(TELLS_EVERY_MILLIS));
+            if now >= edge.next_report_at {
+                edge.next_report_at =
+                    now + Duration::from_millis(self.random.random_range(REPORT_INTERVAL_MILLIS));
                 let mut loads = edge.book.loads(now);
                 if edge.build == Build::Old {
                     for load in &mut loads.engines {
@@ -218,12 +210,12 @@
                 }
                 let node = format!("edge {number}");
                 let news = News { node, loads: Some(loads), asks_loads: true, ..News::default() };
-                let told = self.board.exchange(news, now).loads.expect("loads");
-                edge.inbox.push_back((now + NEWS_AGE, told));
+                let peer_loads = self.board.exchange(news, now).loads.expect("loads were requested");
+                edge.inbox.push_back((now + REPORT_DELAY, peer_loads));
             }
             while edge.inbox.front().is_some_and(|(due, _)| *due <= now) {
-                let Some((_, told)) = edge.inbox.pop_front() else { break };
-                edge.book.others_told(&told, now);
+                let Some((_, peer_loads)) = edge.inbox.pop_front() else { break };
+                edge.book.others_told(&peer_loads, now);
                 let changes = edge.book.judge_outliers(now);
                 self.result.changes.extend(changes.into_iter().map(|change| (number, now, change)));
             }
@@ -257,14 +249,14 @@
             only: None,
         };
         let book = &mut self.edges[edge].book;
-        let placed = book.choose(&request, now).expect("an engine");
+        let placed = book.choose(&request, now).expect("an engine is available");
         book.sent(&placed.engine, placed.unread_tokens, now);
         book.was_read(&placed.engine, placed.unread_tokens);
         let engine = (0..self.scenario.engines).find(|engine| engine_id(*engine) == placed.engine);
-        self.under_way.push_back(Played {
+        self.in_flight.push_back(SimulatedCall {
             edge,
             engine: engine.expect("a known engine"),
-            begun: now,
+            started: now,
             ended: now + CALL_TIME,
             has_failed: false,
         });
--- a/crates/routing/tests/stale_news.rs
+++ b/crates/routing/tests/stale_reports.rs
@@ -1,4 +1,4 @@
-//! Nodes that all know the same old news must not all choose the same engine.
+//! Guards against herding: nodes with the same stale reports must not all choose the same engine.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 const EDGES: usize = 8;
 const ENGINES: usize = 12;
 const STEP: Duration = Duration::from_millis(5);
-/// Chance that an edge gets a new program in a step: 240 a second on all edges.
-const ARRIVAL: f64 = 0.15;
+/// Chance of a new program per edge and step: 240 a second on all edges.
+const ARRIVAL_CHANCE: f64 = 0.15;
 const CALL_TIME: Duration = Duration::from_millis(300);
 
 struct Call {
@@ -25,14 +25,14 @@
     ends: Timestamp,
 }
 
-struct World {
+struct Simulation {
     books: Vec<EngineBook>,
     board: Board,
     calls: Vec<Call>,
     random: ChaCha8Rng,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let spec = |engine: usize| EngineSpec {
             id: EngineId::new(&format!("engine {engine}")),
@@ -67,7 +67,7 @@
 
     fn begin_calls(&mut self, now: Timestamp) {
         for edge in 0..EDGES {
-            if !self.random.random_bool(ARRIVAL) {
+            if !self.random.random_bool(ARRIVAL_CHANCE) {
                 continue;
             }
             let parts = [PartNeed { part: self.random.random(), tokens: 500 }];
@@ -82,7 +82,7 @@
                 rather_not: &[],
                 only: None,
             };
-            let placed = self.books[edge].choose(&request, now).expect("an engine");
+            let placed = self.books[edge].choose(&request, now).expect("an engine is available");
             self.books[edge].sent(&placed.engine, placed.unread_tokens, now);
             self.books[edge].was_read(&placed.engine, placed.unread_tokens);
             self.calls.push(Call { edge, engine: placed.engine, ends: now + CALL_TIME });
@@ -90,59 +90,59 @@
     }
 
     fn end_calls(&mut self, now: Timestamp) {
-        let (ended, under_way) =
+        let (ended, in_flight) =
             std::mem::take(&mut self.calls).into_iter().partition(|call| call.ends <= now);
-        self.calls = under_way;
+        self.calls = in_flight;
         let ended: Vec<Call> = ended;
         for call in ended {
             self.books[call.edge].ended(&call.engine, Outcome::Sound, now);
         }
     }
 
-    /// All edges tell and learn at the same moment.
+    /// All edges report and receive at the same time.
     fn exchange(&mut self, now: Timestamp) {
-        let news = |edge: usize, asks_loads: bool, books: &[EngineBook]| News {
+        let report = |edge: usize, asks_loads: bool, books: &[EngineBook]| News {
             node: format!("edge {edge}"),
             loads: Some(books[edge].loads(now)),
             asks_loads,
             ..News::default()
         };
         for edge in 0..EDGES {
-            self.board.exchange(news(edge, false, &self.books), now);
+            self.board.exchange(report(edge, false, &self.books), now);
         }
         for edge in 0..EDGES {
-            let view: View = self.board.exchange(news(edge, true, &self.books), now);
-            self.books[edge].others_told(&view.loads.expect("loads"), now);
+            let view: View = self.board.exchange(report(edge, true, &self.books), now);
+            self.books[edge].others_told(&view.loads.expect("loads were requested"), now);
         }
     }
 
-    /// The fullest engine against the mean.
-    fn unevenness(&self) -> f64 {
-        let on = |engine: usize| {
+    /// Ratio of the fullest engine's calls to the mean.
+    fn imbalance(&self) -> f64 {
+        let calls_at = |engine: usize| {
             let id = EngineId::new(&format!("engine {engine}"));
             self.calls.iter().filter(|call| call.engine == id).count()
         };
-        let fullest = (0..ENGINES).map(on).max().unwrap_or(0);
+        let fullest = (0..ENGINES).map(calls_at).max().unwrap_or(0);
         fullest as f64 / (self.calls.len() as f64 / ENGINES as f64)
     }
 }
 
-/// The mean over ten seconds of the fullest engine against the mean engine.
-fn unevenness(seed: u64, told_every: Duration) -> f64 {
-    let mut world = World::new(seed);
+/// Mean ratio over ten seconds, without the first second.
+fn imbalance(seed: u64, report_interval: Duration) -> f64 {
+    let mut simulation = Simulation::new(seed);
     let mut now = Timestamp::default();
     let mut next_exchange = now;
     let (mut sum, mut samples) = (0.0, 0);
     while now < Timestamp::default() + Duration::from_secs(10) {
         now = now + STEP;
-        world.end_calls(now);
+        simulation.end_calls(now);
         if now >= next_exchange {
-            world.exchange(now);
-            next_exchange = now + told_every;
+            simulation.exchange(now);
+            next_exchange = now + report_interval;
         }
-        world.begin_calls(now);
+        simulation.begin_calls(now);
         if now >= Timestamp::default() + Duration::from_secs(1) {
-            sum += world.unevenness();
+            sum += simulation.imbalance();
             samples += 1;
         }
     }
@@ -150,10 +150,10 @@
 }
 
 #[test]
-fn old_news_do_not_send_everybody_to_one_engine() {
+fn stale_reports_do_not_herd_nodes_to_one_engine() {
     for seed in 1..=5 {
-        let (fresh, old) = (unevenness(seed, STEP), unevenness(seed, Duration::from_millis(250)));
-        assert!(fresh < 1.5, "seed {seed}: fresh news, fullest engine at {fresh:.2} times the mean");
-        assert!(old < 2.5, "seed {seed}: old news, fullest engine at {old:.2} times the mean");
+        let (fresh, stale) = (imbalance(seed, STEP), imbalance(seed, Duration::from_millis(250)));
+        assert!(fresh < 1.5, "seed {seed}: fresh reports, fullest engine at {fresh:.2} times the mean");
+        assert!(stale < 2.5, "seed {seed}: stale reports, fullest engine at {stale:.2} times the mean");
     }
 }
--- a/crates/routing/tests/urgency.rs
+++ b/crates/routing/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! The order of turns at a full engine.
+//! Order of turns in the queue of a full engine.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,28 +15,28 @@
 }
 
 #[test]
-fn a_program_keeps_its_place_and_programs_differ() {
-    let places: BTreeSet<u8> = (0..30).map(|hash| urgency(&facts(0, hash))).collect();
-    assert_eq!(places, BTreeSet::from([1, 3, 5]));
+fn urgency_is_stable_per_program_and_differs_between_programs() {
+    let urgencies: BTreeSet<u8> = (0..30).map(|hash| urgency(&facts(0, hash))).collect();
+    assert_eq!(urgencies, BTreeSet::from([1, 3, 5]));
     assert_eq!(urgency(&facts(0, 7)), urgency(&facts(0, 7)));
 }
 
 #[test]
-fn a_higher_class_goes_before_a_lower_one_of_the_same_group() {
+fn higher_class_precedes_lower_class_in_the_same_group() {
     for hash in 0..30 {
         assert!(urgency(&facts(0, hash)) < urgency(&facts(1, hash)));
     }
 }
 
 #[test]
-fn a_program_that_cannot_be_in_time_waits_behind_all_that_can() {
+fn program_past_its_deadline_waits_behind_all_others() {
     let late = UrgencyFacts { program_time_left: Some(Duration::from_millis(200)), ..facts(0, 0) };
     let worst = (0..30).map(|hash| urgency(&facts(1, hash))).max();
     assert!(Some(urgency(&late)) > worst);
 }
 
 #[test]
-fn a_program_that_names_no_time_is_never_hopeless() {
-    let open = UrgencyFacts { program_time_left: None, ..facts(0, 0) };
-    assert_eq!(urgency(&open), urgency(&facts(0, 0)));
+fn program_without_deadline_is_never_past_it() {
+    let without_deadline = UrgencyFacts { program_time_left: None, ..facts(0, 0) };
+    assert_eq!(urgency(&without_deadline), urgency(&facts(0, 0)));
 }
