--- a/crates/fleet-view/src/lib.rs
+++ b/crates/fleet-view/src/lib.rs
@@ -1,9 +1,10 @@
-//! What edges know of each other's doings: calls at engines, and which engine holds which part of a prompt.
+//! Fleet-wide view of load and prompt caches: calls at engines by edge, and which engine holds which part of
+//! a prompt.
 //!
-//! An edge asks replicas of the ledger at the begin and the end of each turn anyhow. Its [`News`] ride along, and the
-//! replica's [`View`] of all edges comes back with the answer, so no message is sent for this alone. A replica keeps
-//! the news in a [`Board`]: in memory only, bounded, forgotten when they are old. All of it is a belief that decides
-//! where a call goes, never whether it may run.
+//! Edges query replicas of the ledger at the start and end of each turn. Their [`News`] are sent with these
+//! requests and the replica's [`View`] of all edges returns with the response, so that no extra messages are
+//! needed. A replica keeps the news in a [`Board`], in memory only, bounded, and with expiry. The view may be
+//! stale or incomplete: it may decide where a call is routed, never whether it may run.
 
 mod board;
 mod load_table;
@@ -17,17 +18,17 @@
 
 use sumacdrift_types::stable_hash;
 
-/// Short name of an engine's life in messages.
+/// Hash that identifies an engine's incarnation in messages. Stable across builds.
 pub fn engine_key(id: &str) -> u32 {
     stable_hash(&[id.as_bytes()]) as u32
 }
 
-/// Short name of a service in messages.
+/// Hash that identifies a service in messages. Stable across builds.
 pub fn service_key(name: &str) -> u32 {
     stable_hash(&[name.as_bytes()]) as u32
 }
 
-/// Short name of a part of a prompt in messages.
+/// Hash that identifies a part of a prompt in messages. Stable across builds.
 pub fn part_key(id: &str) -> u64 {
     stable_hash(&[id.as_bytes()])
 }
--- a/crates/fleet-view/src/load_table.rs
+++ b/crates/fleet-view/src/load_table.rs
@@ -1,4 +1,4 @@
-//! Calls at engines and before them, by the edge or the other board that told of them.
+//! Running and waiting calls, by the edge or board that reported them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,85 +7,86 @@
 
 use crate::message::{EngineLoad, Loads, News, ServiceDemand};
 
-/// How long what an edge told counts. A busy edge tells anew within a fraction of that.
-const LOADS_COUNT_FOR: Duration = Duration::from_millis(1000);
+/// Time after which a report expires. A busy edge reports anew within a fraction of it.
+const REPORT_TTL: Duration = Duration::from_millis(1000);
 
 #[derive(Debug)]
-struct Told {
-    at: Timestamp,
+struct Report {
+    received_at: Timestamp,
     loads: Loads,
     demands: Vec<ServiceDemand>,
     relay: String,
     is_board: bool,
 }
 
-/// What each edge told last.
+/// Latest report of each edge and of each other board.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    edges: HashMap<String, Told>,
+    reports: HashMap<String, Report>,
 }
 
 impl LoadTable {
-    /// An edge told of its calls, or another board of those of its edges.
-    pub fn tell(&mut self, news: &News, loads: Loads, now: Timestamp) {
-        let told = Told {
-            at: now,
+    /// Replaces the sender's report and drops expired ones.
+    pub fn update(&mut self, news: &News, loads: Loads, now: Timestamp) {
+        let report = Report {
+            received_at: now,
             loads,
             demands: news.demands.clone(),
             relay: news.relay.clone(),
             is_board: news.is_from_board,
         };
-        self.edges.insert(news.node.clone(), told);
-        self.edges.retain(|_, told| now.since(told.at) < LOADS_COUNT_FOR);
+        self.reports.insert(news.node.clone(), report);
+        self.reports.retain(|_, report| now.since(report.received_at) < REPORT_TTL);
     }
 
-    /// Calls of all edges but one.
-    pub fn besides(&self, node: &str, now: Timestamp) -> Loads {
+    /// Sums the loads of all senders except `node`.
+    pub fn loads_without(&self, node: &str, now: Timestamp) -> Loads {
         sum(self.others(node, now))
     }
 
-    /// Calls of all edges but one, by service and rank.
-    pub fn demands_besides(&self, node: &str, now: Timestamp) -> Vec<ServiceDemand> {
+    /// Sums the demand of all senders except `node`, by service and rank.
+    pub fn demands_without(&self, node: &str, now: Timestamp) -> Vec<ServiceDemand> {
         sum_demands(self.others(node, now))
     }
 
-    /// Calls of the edges that told of them here, by service and rank.
-    pub fn demands_told_by_edges(&self, now: Timestamp) -> Vec<ServiceDemand> {
-        sum_demands(self.others("", now).filter(|told| !told.is_board))
+    /// Sums the demand of edges that report here directly, by service and rank.
+    pub fn demands_of_edges(&self, now: Timestamp) -> Vec<ServiceDemand> {
+        sum_demands(self.others("", now).filter(|report| !report.is_board))
     }
 
-    /// Calls of the edges that told of them here; `None` where there are none of late.
-    pub fn told_by_edges(&self, now: Timestamp) -> Option<Loads> {
-        let mut edges = self.others("", now).filter(|told| !told.is_board).peekable();
+    /// Sums the loads of edges that report here directly; `None` if no edge has reported recently.
+    pub fn loads_of_edges(&self, now: Timestamp) -> Option<Loads> {
+        let mut edges = self.others("", now).filter(|report| !report.is_board).peekable();
         edges.peek()?;
         Some(sum(edges))
     }
 
-    /// Other boards that told of their edges' calls of late.
+    /// Names of the boards that have reported recently.
     pub fn boards(&self, now: Timestamp) -> Vec<String> {
-        let boards = self.edges.iter().filter(|(_, told)| told.is_board);
+        let boards = self.reports.iter().filter(|(_, report)| report.is_board);
         boards
-            .filter(|(_, told)| now.since(told.at) < LOADS_COUNT_FOR)
+            .filter(|(_, report)| now.since(report.received_at) < REPORT_TTL)
             .map(|(node, _)| node.clone())
             .collect()
     }
 
-    /// Addresses of other edges that pass questions on, the ones heard of last first.
-    pub fn relays(&self, node: &str, most: usize, now: Timestamp) -> Vec<String> {
-        let mut told: Vec<&Told> = self.others(node, now).filter(|told| !told.relay.is_empty()).collect();
-        told.sort_by_key(|told| std::cmp::Reverse(told.at));
-        told.into_iter().take(most).map(|told| told.relay.clone()).collect()
+    /// Relay addresses of at most `max_relays` senders except `node`, the most recent reports first.
+    pub fn relays(&self, node: &str, max_relays: usize, now: Timestamp) -> Vec<String> {
+        let mut reports: Vec<&Report> =
+            self.others(node, now).filter(|report| !report.relay.is_empty()).collect();
+        reports.sort_by_key(|report| std::cmp::Reverse(report.received_at));
+        reports.into_iter().take(max_relays).map(|report| report.relay.clone()).collect()
     }
 
-    fn others<'a>(&'a self, node: &'a str, now: Timestamp) -> impl Iterator<Item = &'a Told> {
-        let edges = self.edges.iter().filter(move |(edge, _)| *edge != node).map(|(_, told)| told);
-        edges.filter(move |told| now.since(told.at) < LOADS_COUNT_FOR)
+    fn others<'a>(&'a self, node: &'a str, now: Timestamp) -> impl Iterator<Item = &'a Report> {
+        let others = self.reports.iter().filter(move |(sender, _)| *sender != node).map(|(_, report)| report);
+        others.filter(move |report| now.since(report.received_at) < REPORT_TTL)
     }
 }
 
-fn sum<'a>(told: impl Iterator<Item = &'a Told>) -> Loads {
+fn sum<'a>(reports: impl Iterator<Item = &'a Report>) -> Loads {
     let mut sums: BTreeMap<u32, EngineLoad> = BTreeMap::new();
-    for load in told.flat_map(|told| &told.loads.engines) {
+    for load in reports.flat_map(|report| &report.loads.engines) {
         let sum =
             sums.entry(load.engine).or_insert(EngineLoad { engine: load.engine, ..EngineLoad::default() });
         sum.running = sum.running.saturating_add(load.running);
@@ -98,9 +99,9 @@
     Loads { engines: sums.into_values().collect() }
 }
 
-fn sum_demands<'a>(told: impl Iterator<Item = &'a Told>) -> Vec<ServiceDemand> {
+fn sum_demands<'a>(reports: impl Iterator<Item = &'a Report>) -> Vec<ServiceDemand> {
     let mut sums: BTreeMap<(u32, u32), ServiceDemand> = BTreeMap::new();
-    for demand in told.flat_map(|told| &told.demands) {
+    for demand in reports.flat_map(|report| &report.demands) {
         let (service, rank) = (demand.service, demand.rank);
         let none = ServiceDemand { service, rank, ..ServiceDemand::default() };
         let sum = sums.entry((service, rank)).or_insert(none);
--- a/crates/fleet-view/src/message.rs
+++ b/crates/fleet-view/src/message.rs
@@ -1,116 +1,117 @@
-//! Messages between edges and the replicas that pass their news on. All are protocol buffers; fields that a version
-//! does not know are ignored.
+//! Protocol-buffer messages between edges, and the replicas that distribute their news. Unknown fields are
+//! ignored.
 
-/// What an edge tells, and what it asks in return.
+/// Report of an edge or board, and what it asks for in return.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct News {
-    /// Name of the edge.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Where the edge passes questions on for others, `IP:PORT`; empty where it does not.
+    /// Address at which the edge forwards requests of others, `IP:PORT`; empty if it does not.
     #[prost(string, tag = "2")]
     pub relay: String,
-    /// The edge's calls at engines. An engine that is not named has none of them.
+    /// Calls of the sender at engines. An engine that is missing has none.
     #[prost(message, optional, tag = "3")]
     pub loads: Option<Loads>,
-    /// Parts of a prompt that an engine has read.
+    /// Parts of prompts that an engine has read.
     #[prost(message, repeated, tag = "4")]
     pub held: Vec<PartHeld>,
-    /// Parts of a prompt whose engines are asked for.
+    /// Parts of prompts whose holders are requested.
     #[prost(fixed64, repeated, tag = "5")]
     pub asked_parts: Vec<u64>,
-    /// Whether the loads of other edges are asked for.
+    /// Requests the loads and demand of the other edges.
     #[prost(bool, tag = "6")]
     pub asks_loads: bool,
-    /// Whether edges that pass questions on are asked for.
+    /// Requests the addresses of relays.
     #[prost(bool, tag = "7")]
     pub asks_relays: bool,
-    /// Whether the sender is another board, and its loads are those of all edges that tell it of theirs.
+    /// Whether the sender is a board, whose loads are the sums over the edges that report to it.
     #[prost(bool, tag = "8")]
     pub is_from_board: bool,
-    /// Calls of the edge by service and rank. Told with its loads; what is not named has none.
+    /// Calls of the sender by service and rank, sent with its loads. A pair that is missing has none.
     #[prost(message, repeated, tag = "9")]
     pub demands: Vec<ServiceDemand>,
 }
 
-/// Calls of one rank that want to use a service.
+/// Calls of one rank to a service.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct ServiceDemand {
-    /// The service, see [`crate::service_key`].
+    /// See [`crate::service_key`].
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// The rank; lower is served first.
+    /// Lower ranks are served first.
     #[prost(uint32, tag = "2")]
     pub rank: u32,
-    /// Calls under way at engines.
+    /// Calls in flight at engines.
     #[prost(uint32, tag = "3")]
     pub running: u32,
-    /// Calls that wait at an edge.
+    /// Calls queued at an edge.
     #[prost(uint32, tag = "4")]
     pub waiting: u32,
 }
 
-/// Calls at engines.
+/// Load by engine.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Loads {
-    /// One entry for each engine that has any.
+    /// Engines with any load.
     #[prost(message, repeated, tag = "1")]
     pub engines: Vec<EngineLoad>,
 }
 
-/// Calls at one engine.
+/// Load of one engine. The tokens and counts saturate when they are summed.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct EngineLoad {
-    /// The engine, see [`crate::engine_key`].
+    /// See [`crate::engine_key`].
     #[prost(fixed32, tag = "1")]
     pub engine: u32,
-    /// Calls under way there.
+    /// Calls in flight.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Tokens of their prompts that it still has to read.
+    /// Prompt tokens of these calls that the engine has not read yet.
     #[prost(uint32, tag = "3")]
     pub unread_tokens: u32,
-    /// Calls there that failed a moment ago, none having ended well since.
+    /// Calls that failed recently without a success since.
     #[prost(uint32, tag = "4")]
     pub failed: u32,
-    /// Edges whose last call there ended well a moment ago. Told only of engines where others' calls fail.
+    /// Edges whose last call succeeded recently. Sent only for engines where calls of others fail.
     #[prost(uint32, tag = "5")]
     pub served: u32,
-    /// Calls there that ended of late, well or not. Told only of engines where calls of any edge failed of late.
+    /// Calls that ended recently, successful or not. Sent only for engines where calls of any edge failed
+    /// recently.
     #[prost(uint32, tag = "6")]
     pub recent_ended: u32,
-    /// Those of them that failed by the engine's fault.
+    /// Those of `recent_ended` that failed by the engine's fault.
     #[prost(uint32, tag = "7")]
     pub recent_failed: u32,
 }
 
-/// A part of a prompt that an engine holds in its memory, as far as is known.
+/// A part of a prompt that an engine is believed to have cached.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct PartHeld {
-    /// The part, see [`crate::part_key`].
+    /// See [`crate::part_key`].
     #[prost(fixed64, tag = "1")]
     pub part: u64,
-    /// The engine.
+    /// See [`crate::engine_key`].
     #[prost(fixed32, tag = "2")]
     pub engine: u32,
-    /// Tokens of the part that it holds.
+    /// Cached tokens of the part.
     #[prost(uint32, tag = "3")]
     pub tokens: u32,
 }
 
-/// What a replica knows from other edges.
+/// Response to [`News`]: what the replica knows of the other edges.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct View {
-    /// Calls of all other edges at engines, where they were asked for.
+    /// Sum over all other edges; set only if requested.
     #[prost(message, optional, tag = "1")]
     pub loads: Option<Loads>,
-    /// Engines that hold the parts that were asked for.
+    /// Engines that hold the requested parts.
     #[prost(message, repeated, tag = "2")]
     pub held: Vec<PartHeld>,
-    /// Addresses of edges that pass questions on, where they were asked for.
+    /// Addresses of edges that forward requests; set only if requested.
     #[prost(string, repeated, tag = "3")]
     pub relays: Vec<String>,
-    /// Calls of all other edges by service and rank, where loads were asked for.
+    /// Sum over all other edges; set only if loads are requested.
     #[prost(message, repeated, tag = "4")]
     pub demands: Vec<ServiceDemand>,
 }
--- a/crates/fleet-view/src/part_index.rs
+++ b/crates/fleet-view/src/part_index.rs
@@ -1,4 +1,4 @@
-//! Which engines hold which parts of prompts: a bounded belief that forgets what was not used for long.
+//! Bounded index of the engines that hold parts of prompts, with expiry.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -7,81 +7,82 @@
 
 use crate::message::PartHeld;
 
-/// Engines that are remembered for one part.
-const MOST_HOLDERS: usize = 24;
+/// Maximum number of holders per part.
+const MAX_HOLDERS_PER_PART: usize = 24;
 
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     engine: u32,
     tokens: u32,
-    used: Timestamp,
+    used_at: Timestamp,
 }
 
 #[derive(Debug, Default)]
 struct Part {
-    used: Timestamp,
+    used_at: Timestamp,
     holders: Vec<Holder>,
 }
 
-/// Parts and the engines that hold them.
+/// Maps parts to the engines that are believed to hold them.
 #[derive(Debug)]
 pub struct PartIndex {
     parts: HashMap<u64, Part>,
-    by_use: BTreeSet<(Timestamp, u64)>,
-    most_parts: usize,
-    keep_for: Duration,
+    by_last_use: BTreeSet<(Timestamp, u64)>,
+    max_parts: usize,
+    ttl: Duration,
 }
 
 impl PartIndex {
-    /// An empty index of at most so many parts, each forgotten when it was not used for a time.
-    pub fn new(most_parts: usize, keep_for: Duration) -> Self {
-        Self { parts: HashMap::new(), by_use: BTreeSet::new(), most_parts, keep_for }
+    /// Starts empty. A part expires `ttl` after its last use; beyond `max_parts` the least recently used is
+    /// evicted.
+    pub fn new(max_parts: usize, ttl: Duration) -> Self {
+        Self { parts: HashMap::new(), by_last_use: BTreeSet::new(), max_parts, ttl }
     }
 
-    /// Number of parts known.
+    /// Number of parts in the index, including expired ones that are not evicted yet.
     pub fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether the index has no part, expired or not.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// An engine has read so much of a part.
+    /// Records that an engine holds a part.
     pub fn note(&mut self, held: PartHeld, now: Timestamp) {
         let part = self.parts.entry(held.part).or_default();
-        self.by_use.remove(&(part.used, held.part));
-        self.by_use.insert((now, held.part));
-        part.used = now;
-        let holder = Holder { engine: held.engine, tokens: held.tokens, used: now };
+        self.by_last_use.remove(&(part.used_at, held.part));
+        self.by_last_use.insert((now, held.part));
+        part.used_at = now;
+        let holder = Holder { engine: held.engine, tokens: held.tokens, used_at: now };
         match part.holders.iter_mut().find(|known| known.engine == held.engine) {
-            // A line's part only grows; an older turn may be told later than a newer one.
+            // A cached part only grows; reports of turns may arrive out of order.
             Some(known) => *known = Holder { tokens: known.tokens.max(held.tokens), ..holder },
             None => part.holders.push(holder),
         }
-        if part.holders.len() > MOST_HOLDERS {
-            let oldest = (0..part.holders.len()).min_by_key(|place| part.holders[*place].used);
-            oldest.map(|place| part.holders.swap_remove(place));
+        if part.holders.len() > MAX_HOLDERS_PER_PART {
+            let least_recent = (0..part.holders.len()).min_by_key(|index| part.holders[*index].used_at);
+            least_recent.map(|index| part.holders.swap_remove(index));
         }
-        self.forget(now);
+        self.evict(now);
     }
 
-    /// Engines that hold a part.
+    /// Engines that have used the part within the time to live.
     pub fn holders(&self, part: u64, now: Timestamp) -> impl Iterator<Item = PartHeld> {
         let holders = self.parts.get(&part).map(|part| part.holders.as_slice()).unwrap_or_default();
-        let keep_for = self.keep_for;
-        let recent = holders.iter().filter(move |holder| now.since(holder.used) < keep_for);
+        let ttl = self.ttl;
+        let recent = holders.iter().filter(move |holder| now.since(holder.used_at) < ttl);
         recent.map(move |holder| PartHeld { part, engine: holder.engine, tokens: holder.tokens })
     }
 
-    fn forget(&mut self, now: Timestamp) {
-        while let Some((used, part)) = self.by_use.first().copied() {
-            let is_old = now.since(used) >= self.keep_for;
-            if !is_old && self.parts.len() <= self.most_parts {
+    fn evict(&mut self, now: Timestamp) {
+        while let Some((used_at, part)) = self.by_last_use.first().copied() {
+            let is_expired = now.since(used_at) >= self.ttl;
+            if !is_expired && self.parts.len() <= self.max_parts {
                 return;
             }
-            self.by_use.remove(&(used, part));
+            self.by_last_use.remove(&(used_at, part));
             self.parts.remove(&part);
         }
     }
--- a/crates/fleet-view/tests/part_index.rs
+++ b/crates/fleet-view/tests/part_index.rs
@@ -1,11 +1,11 @@
-//! Which engines hold which parts, as far as is believed.
+//! Expiry, eviction and growth of parts in the index.
 
 use std::time::Duration;
 
 use sumacdrift_fleet_view::{PartHeld, PartIndex};
 use sumacdrift_types::Timestamp;
 
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 
 fn at(seconds: u64) -> Timestamp {
     Timestamp::default() + Duration::from_secs(seconds)
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_part_grows_and_an_older_turn_told_late_does_not_shrink_it() {
-    let mut index = PartIndex::new(8, KEPT_FOR);
+fn late_report_does_not_shrink_a_part() {
+    let mut index = PartIndex::new(8, TTL);
     index.note(held(1, 7, 100), at(0));
     index.note(held(1, 7, 300), at(1));
     index.note(held(1, 7, 200), at(2));
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn what_was_not_used_for_long_is_no_longer_believed() {
-    let mut index = PartIndex::new(8, KEPT_FOR);
+fn unused_holders_and_parts_expire() {
+    let mut index = PartIndex::new(8, TTL);
     index.note(held(1, 7, 100), at(0));
     index.note(held(1, 8, 100), at(6));
     assert_eq!(holders(&index, 1, at(9)), [(7, 100), (8, 100)]);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn the_parts_used_longest_ago_give_way() {
-    let mut index = PartIndex::new(3, KEPT_FOR);
+fn least_recently_used_parts_are_evicted() {
+    let mut index = PartIndex::new(3, TTL);
     for part in 0..5 {
         index.note(held(part, 7, 1), at(part));
     }
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn the_holders_of_a_part_are_bounded() {
-    let mut index = PartIndex::new(3, KEPT_FOR);
+fn holders_per_part_are_bounded() {
+    let mut index = PartIndex::new(3, TTL);
     for engine in 0..200 {
         index.note(held(1, engine, 1), at(1));
     }
--- a/crates/fleet-view/tests/recorded_forms/main.rs
+++ b/crates/fleet-view/tests/recorded_forms/main.rs
@@ -1,7 +1,8 @@
-//! What edges and boards tell each other, as earlier builds wrote it, is read; today's is written as it was recorded, and
-//! earlier builds read it. Short names are those that every build gives.
+//! Compatibility of the messages between edges and boards: recorded messages of earlier builds are read,
+//! today's messages are written as recorded and read by earlier builds, and hashed identifiers are stable.
 //!
-//! A new form is added as `sumacdrift_recorded_forms` says; lines of `fixtures/views.txt` are never changed.
+//! New forms are added as `sumacdrift_recorded_forms` describes; lines of `fixtures/views.txt` are never
+//! changed.
 
 mod older;
 
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn recorded_forms_are_read_and_the_newest_of_them_written() {
+fn recorded_forms_are_read_and_the_newest_is_written() {
     let mut forms = recorded();
     forms.reads(&Codec::message(), NEWS, "1", &news(first_loads(), false));
     forms.reads(&Codec::message(), NEWS, "2", &news(loads_with_failures(), false));
@@ -89,23 +90,23 @@
     }
 }
 
-/// What an earlier build reads from what today's build writes, written again as that build writes it: the recorded form.
-fn reread<M: Message + Default>(newest: &impl Message) -> Vec<u8> {
-    M::decode(newest.encode_to_vec().as_slice()).expect("a message").encode_to_vec()
+/// Decodes a message as an earlier build does and encodes the fields that it knows.
+fn reencode_as<M: Message + Default>(newest: &impl Message) -> Vec<u8> {
+    M::decode(newest.encode_to_vec().as_slice()).expect("valid message").encode_to_vec()
 }
 
 #[test]
-fn earlier_builds_read_what_they_know_of_todays_messages() {
+fn earlier_builds_read_the_known_fields_of_todays_messages() {
     let mut forms = recorded();
-    assert_eq!(reread::<older::FirstNews>(&newest_news()), forms.bytes(NEWS, "1"));
-    assert_eq!(reread::<older::NewsWithFailures>(&newest_news()), forms.bytes(NEWS, "2"));
-    assert_eq!(reread::<older::NewsOfBoards>(&newest_news()), forms.bytes(NEWS, "3"));
-    assert_eq!(reread::<older::FirstView>(&newest_view()), forms.bytes(VIEW, "1"));
-    assert_eq!(reread::<older::ViewWithFailures>(&newest_view()), forms.bytes(VIEW, "2"));
+    assert_eq!(reencode_as::<older::FirstNews>(&newest_news()), forms.bytes(NEWS, "1"));
+    assert_eq!(reencode_as::<older::NewsWithFailures>(&newest_news()), forms.bytes(NEWS, "2"));
+    assert_eq!(reencode_as::<older::NewsOfBoards>(&newest_news()), forms.bytes(NEWS, "3"));
+    assert_eq!(reencode_as::<older::FirstView>(&newest_view()), forms.bytes(VIEW, "1"));
+    assert_eq!(reencode_as::<older::ViewWithFailures>(&newest_view()), forms.bytes(VIEW, "2"));
 }
 
 #[test]
-fn every_build_gives_the_same_short_names() {
+fn hashed_identifiers_are_stable_across_builds() {
     assert_eq!(engine_key("engine-1"), 1_914_633_309);
     assert_eq!(engine_key("engine-1@1700000000000"), 1_936_577_152);
     assert_eq!(part_key("system-prompt"), 4_938_891_675_840_779_692);
--- a/crates/fleet-view/tests/recorded_forms/older.rs
+++ b/crates/fleet-view/tests/recorded_forms/older.rs
@@ -1,8 +1,8 @@
-//! Messages as earlier builds knew them: their fields and numbers, copied from those builds.
+//! Messages of earlier builds, with the fields and tags copied from them.
 
 use sumacdrift_fleet_view::PartHeld;
 
-/// Of ed4b611.
+/// As of build ed4b611.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FirstNews {
     #[prost(string, tag = "1")]
@@ -21,7 +21,7 @@
     pub asks_relays: bool,
 }
 
-/// Of dabe329.
+/// As of build dabe329.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NewsWithFailures {
     #[prost(string, tag = "1")]
@@ -40,14 +40,14 @@
     pub asks_relays: bool,
 }
 
-/// Of ed4b611.
+/// As of build ed4b611.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FirstLoads {
     #[prost(message, repeated, tag = "1")]
     pub engines: Vec<FirstEngineLoad>,
 }
 
-/// Of ed4b611.
+/// As of build ed4b611.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct FirstEngineLoad {
     #[prost(fixed32, tag = "1")]
@@ -58,7 +58,7 @@
     pub unread_tokens: u32,
 }
 
-/// Of ed4b611.
+/// As of build ed4b611.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FirstView {
     #[prost(message, optional, tag = "1")]
@@ -69,7 +69,7 @@
     pub relays: Vec<String>,
 }
 
-/// Of f635472.
+/// As of build f635472.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NewsOfBoards {
     #[prost(string, tag = "1")]
@@ -90,14 +90,14 @@
     pub is_from_board: bool,
 }
 
-/// Of dabe329.
+/// As of build dabe329.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct LoadsWithFailures {
     #[prost(message, repeated, tag = "1")]
     pub engines: Vec<EngineLoadWithFailures>,
 }
 
-/// Of dabe329.
+/// As of build dabe329.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct EngineLoadWithFailures {
     #[prost(fixed32, tag = "1")]
@@ -112,7 +112,7 @@
     pub served: u32,
 }
 
-/// Of dabe329.
+/// As of build dabe329.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ViewWithFailures {
     #[prost(message, optional, tag = "1")]
