--- a/crates/dissemination/src/feed.rs
+++ b/crates/dissemination/src/feed.rs
@@ -1,4 +1,4 @@
-//! What one node has learned from the store, with a position for each change.
+//! Objects of the store as known on one node, with a position for each change.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -7,157 +7,159 @@
 use sumacdrift_types::Timestamp;
 
 use crate::message::{Changes, FollowRequest, Item, ItemChange, ItemKey, ItemKind, Snapshot};
-use crate::recent::RecentChanges;
+use crate::recent_changes::RecentChanges;
 
-/// Removals that are remembered; a follower that is further behind gets everything.
-const REMEMBERED_REMOVALS: usize = 512;
-/// Content of one part of everything there is. Small beside what a link carries in the time in which an answer is waited
-/// for: 11 ms of 47 Mbit/s.
+/// Removals kept; a follower that lags further gets a full response.
+const MAX_REMOVALS: usize = 512;
+/// Bytes of names and contents in one part of a full response. Takes 11 ms on a link of 47 Mbit/s, which is
+/// short beside the timeout of a request.
 const PART_BYTES: usize = 64 << 10;
-/// How long after a list an outage before it is told to followers: engines that could not report meanwhile take that
-/// long to be back.
-const OUTAGE_MATTERS_FOR: Duration = Duration::from_secs(3);
+/// Time after a list in which followers are told of the outage before it. Engines that could not report
+/// during the outage are back by then.
+const OUTAGE_REPORT_PERIOD: Duration = Duration::from_secs(3);
 
-/// A list of all items of a kind.
+/// All items of a kind, as listed by the store.
 #[derive(Debug, Clone)]
 pub struct Listed {
-    /// The kind.
+    /// Kind of all listed items.
     pub kind: ItemKind,
-    /// The items.
+    /// Every item of the kind at `revision`.
     pub items: Vec<Item>,
-    /// The store's revision.
+    /// Store revision of the list.
     pub revision: u64,
-    /// How long the store was out of reach before.
+    /// Duration of the store outage that the list ended; zero if there was none.
     pub outage: Duration,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredItem {
     position: u64,
     item: Item,
 }
 
 pub(crate) type Key = (i32, String);
 
-/// Of each kind, the revision of the store up to which everything is known.
-type KnownTo = BTreeMap<i32, u64>;
+/// By kind: store revision up to which all changes are known.
+type KnownRevisions = BTreeMap<i32, u64>;
 
-/// What a node has learned from the store.
+/// Items of the store as known on one node, and their changes by position.
 #[derive(Debug, Clone)]
 pub struct Feed {
     life: u64,
-    at: u64,
+    position: u64,
     revision: u64,
-    held: BTreeMap<Key, Held>,
-    recent: RecentChanges,
-    removed: VecDeque<(u64, Key)>,
-    /// Revisions of the store at which items that are gone went, as long as they are remembered.
-    gone: BTreeMap<Key, u64>,
-    known_to: KnownTo,
-    whole_since: u64,
+    stored: BTreeMap<Key, StoredItem>,
+    recent_changes: RecentChanges,
+    removals: VecDeque<(u64, Key)>,
+    /// Store revisions of the removals that are still kept.
+    removal_revisions: BTreeMap<Key, u64>,
+    known_revisions: KnownRevisions,
+    /// Followers behind this position get a full response.
+    incremental_since: u64,
     outage: Duration,
-    listed_at: Timestamp,
-    silent: BTreeSet<ItemKind>,
-    /// When the configuration held was last known to be the store's newest.
-    confirmed: Option<Timestamp>,
-    /// Feeds of other nodes that this one takes in, and whether each of them hears from the store.
+    outage_listed_at: Timestamp,
+    unavailable_kinds: BTreeSet<ItemKind>,
+    /// When the configuration was last known to be the store's newest.
+    configuration_confirmed_at: Option<Timestamp>,
+    /// Incarnations of the feeds that are merged into this one, and whether their nodes reach the store.
     peers: BTreeMap<u64, bool>,
 }
 
 impl Feed {
-    /// A feed that knows nothing yet. `life` tells it from the feeds of other nodes and of other lives of this one.
+    /// Starts empty. `life` distinguishes this feed from those of other nodes and of earlier processes of
+    /// this node.
     pub fn new(life: u64) -> Self {
         Self {
             life: life.max(1),
-            at: 0,
+            position: 0,
             revision: 0,
-            held: BTreeMap::new(),
-            recent: RecentChanges::default(),
-            removed: VecDeque::new(),
-            gone: BTreeMap::new(),
-            known_to: KnownTo::new(),
-            whole_since: 0,
+            stored: BTreeMap::new(),
+            recent_changes: RecentChanges::default(),
+            removals: VecDeque::new(),
+            removal_revisions: BTreeMap::new(),
+            known_revisions: KnownRevisions::new(),
+            incremental_since: 0,
             outage: Duration::ZERO,
-            listed_at: Timestamp::default(),
-            silent: BTreeSet::from([ItemKind::Configuration, ItemKind::Engine]),
-            confirmed: None,
+            outage_listed_at: Timestamp::default(),
+            unavailable_kinds: BTreeSet::from([ItemKind::Configuration, ItemKind::Engine]),
+            configuration_confirmed_at: None,
             peers: BTreeMap::new(),
         }
     }
 
-    /// The configuration held was the store's newest at this time.
+    /// Records that the known configuration was the store's newest at `as_of`.
     pub fn confirm_configuration(&mut self, as_of: Timestamp) {
-        self.confirmed = self.confirmed.max(Some(as_of));
+        self.configuration_confirmed_at = self.configuration_confirmed_at.max(Some(as_of));
     }
 
-    /// How long ago the configuration held was known to be the store's newest; `None` where it never was.
+    /// Time since the known configuration was last confirmed as the store's newest; `None` if it never was.
     pub fn configuration_age(&self, now: Timestamp) -> Option<Duration> {
-        self.confirmed.map(|confirmed| now.since(confirmed))
+        self.configuration_confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 
-    /// Takes in what an earlier life held. The feed is not current before it has heard from the store.
+    /// Loads the items of an earlier process. The feed is current only once it has reached the store.
     pub fn restore(&mut self, snapshot: Snapshot) {
         for item in snapshot.items {
             self.put(item);
         }
     }
 
-    /// Everything held.
+    /// Returns all items, to be persisted.
     pub fn snapshot(&self) -> Snapshot {
-        Snapshot { items: self.held.values().map(|held| held.item.clone()).collect() }
+        Snapshot { items: self.stored.values().map(|stored| stored.item.clone()).collect() }
     }
 
-    /// An item.
+    /// Looks up an item by kind and name.
     pub fn item(&self, kind: ItemKind, name: &str) -> Option<&Item> {
-        self.held.get(&(kind as i32, name.to_owned())).map(|held| &held.item)
+        self.stored.get(&(kind as i32, name.to_owned())).map(|stored| &stored.item)
     }
 
-    /// The items of a kind.
+    /// Iterates over the items of a kind in order of name.
     pub fn items(&self, kind: ItemKind) -> impl Iterator<Item = &Item> {
-        let of_kind = self.held.iter().filter(move |((held_kind, _), _)| *held_kind == kind as i32);
-        of_kind.map(|(_, held)| &held.item)
+        let of_kind = self.stored.iter().filter(move |((stored_kind, _), _)| *stored_kind == kind as i32);
+        of_kind.map(|(_, stored)| &stored.item)
     }
 
-    /// The highest revision of the store that was heard of.
+    /// Highest store revision seen in any item, list or change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Position of the last change.
+    /// Position of the latest change.
     pub fn position(&self) -> u64 {
-        self.at
+        self.position
     }
 
-    /// Whether the store itself was heard of every kind since it last failed.
+    /// Whether the store has listed every required kind since its last failure.
     pub fn hears_store(&self) -> bool {
-        self.silent.is_empty()
+        self.unavailable_kinds.is_empty()
     }
 
-    /// Whether what is held is up to date: the store is heard, here or by a node whose feed is taken in.
+    /// Whether the items are up to date: this node reaches the store, or merges the feed of a node that does.
     pub fn is_current(&self) -> bool {
         self.hears_store() || self.has_current_peer()
     }
 
-    /// Whether any feed that is taken in is of a node that hears from the store.
+    /// Whether a merged feed is of a node that reaches the store.
     pub fn has_current_peer(&self) -> bool {
         self.peers.values().any(|hears_store| *hears_store)
     }
 
-    /// A feed of another node that was taken in says nothing more; returns whether that is news.
+    /// Drops a merged feed that no longer responds; returns whether [`Self::is_current`] changed.
     pub fn peer_lost(&mut self, life: u64) -> bool {
         let was_current = self.is_current();
         self.peers.remove(&life);
         was_current != self.is_current()
     }
 
-    /// Takes in what another node's feed told; returns whether anything is new. Of an item the newer revision counts,
-    /// whoever told it.
+    /// Merges the changes of another node's feed; returns whether an item or [`Self::is_current`] changed.
+    /// The newer revision of an item wins, whichever feed it comes from.
     pub fn merge(&mut self, changes: Changes, now: Timestamp) -> bool {
-        let (was_current, before) = (self.is_current(), self.at);
+        let (was_current, before) = (self.is_current(), self.position);
         self.peers.insert(changes.life, changes.hears_store);
-        let known_to = told_up_to(&changes);
+        let complete_revisions = complete_revisions(&changes);
         if changes.is_whole {
-            self.remove_unnamed(&changes, now);
+            self.remove_missing(&changes, now);
         }
         for change in changes.changes {
             let Some(item) = change.item else { continue };
@@ -167,25 +169,25 @@
                 self.put(item);
             }
         }
-        for (kind, revision) in known_to {
-            self.knows_to(kind, revision);
+        for (kind, revision) in complete_revisions {
+            self.advance_known_revision(kind, revision);
         }
-        was_current != self.is_current() || self.at != before
+        was_current != self.is_current() || self.position != before
     }
 
-    /// Removes what another feed does not hold although it knows more.
-    fn remove_unnamed(&mut self, changes: &Changes, now: Timestamp) {
+    /// Removes items that a full response lacks although its feed knows newer revisions.
+    fn remove_missing(&mut self, changes: &Changes, now: Timestamp) {
         let outage = Duration::from_millis(changes.outage_millis);
-        for (kind, revision) in told_up_to(changes) {
+        for (kind, revision) in complete_revisions(changes) {
             let items = changes.changes.iter().filter_map(|change| change.item.as_ref());
             let names =
                 items.filter(|item| item.kind == kind as i32).map(|item| item.name.as_str()).collect();
-            self.remove_besides(kind, &names, revision, outage, now);
+            self.remove_unlisted(kind, &names, revision, outage, now);
         }
     }
 
-    /// Removes items of a kind that were not among all there were at a revision.
-    fn remove_besides(
+    /// Removes the items of a kind that are not in `names`, the full list at `revision`.
+    fn remove_unlisted(
         &mut self,
         kind: ItemKind,
         names: &BTreeSet<&str>,
@@ -193,184 +195,187 @@
         outage: Duration,
         now: Timestamp,
     ) {
-        let of_kind = self.held.iter().filter(|((held_kind, _), _)| *held_kind == kind as i32);
-        let gone = of_kind
-            .filter(|((_, name), held)| held.item.revision <= revision && !names.contains(name.as_str()));
-        let gone: Vec<Key> = gone.map(|(key, _)| key.clone()).collect();
-        if !gone.is_empty() && !outage.is_zero() {
-            // Followers must learn of the outage, so they get everything anew.
-            self.whole_since = self.at + 1;
+        let of_kind = self.stored.iter().filter(|((stored_kind, _), _)| *stored_kind == kind as i32);
+        let missing = of_kind
+            .filter(|((_, name), stored)| stored.item.revision <= revision && !names.contains(name.as_str()));
+        let missing: Vec<Key> = missing.map(|(key, _)| key.clone()).collect();
+        if !missing.is_empty() && !outage.is_zero() {
+            // Forces a full response, by which followers learn of the outage.
+            self.incremental_since = self.position + 1;
             self.outage = outage;
-            self.listed_at = now;
+            self.outage_listed_at = now;
         }
-        for key in gone {
+        for key in missing {
             self.remove_key(key, revision);
         }
     }
 
-    fn knows_to(&mut self, kind: ItemKind, revision: u64) {
+    fn advance_known_revision(&mut self, kind: ItemKind, revision: u64) {
         self.revision = self.revision.max(revision);
-        let known_to = self.known_to.entry(kind as i32).or_default();
-        *known_to = revision.max(*known_to);
+        let known_revision = self.known_revisions.entry(kind as i32).or_default();
+        *known_revision = revision.max(*known_revision);
     }
 
-    fn known_to(&self, kind: ItemKind) -> u64 {
-        self.known_to.get(&(kind as i32)).copied().unwrap_or(0)
+    fn known_revision(&self, kind: ItemKind) -> u64 {
+        self.known_revisions.get(&(kind as i32)).copied().unwrap_or(0)
     }
 
-    /// A call to the store about a kind failed; returns whether that is news.
+    /// Records that a request to the store for a kind failed; returns whether the kind was available before.
     pub fn store_failed(&mut self, kind: ItemKind) -> bool {
-        self.silent.insert(kind)
+        self.unavailable_kinds.insert(kind)
     }
 
-    /// Takes in a list of all items of a kind; returns whether anything is new.
+    /// Replaces the items of a kind, except newer ones, by a list; returns whether an item changed or the
+    /// kind was unavailable before.
     pub fn list(&mut self, listed: Listed, now: Timestamp) -> bool {
-        let was_silent = self.silent.remove(&listed.kind);
-        let before = self.at;
+        let was_unavailable = self.unavailable_kinds.remove(&listed.kind);
+        let before = self.position;
         let names = listed.items.iter().map(|item| item.name.as_str()).collect();
-        self.remove_besides(listed.kind, &names, listed.revision, listed.outage, now);
+        self.remove_unlisted(listed.kind, &names, listed.revision, listed.outage, now);
         for item in listed.items {
             self.put(item);
         }
-        self.knows_to(listed.kind, listed.revision);
-        was_silent || self.at != before
+        self.advance_known_revision(listed.kind, listed.revision);
+        was_unavailable || self.position != before
     }
 
-    /// Takes in an item; returns whether it is new.
+    /// Stores an item unless a newer revision or its removal is known; returns whether its content changed.
     pub fn put(&mut self, item: Item) -> bool {
         self.revision = self.revision.max(item.revision);
         let key = (item.kind, item.name.clone());
-        if self.gone.get(&key).is_some_and(|gone| *gone >= item.revision) {
+        if self.removal_revisions.get(&key).is_some_and(|removed_at| *removed_at >= item.revision) {
             return false;
         }
-        if let Some(held) = self.held.get_mut(&key) {
-            if held.item.revision >= item.revision {
+        if let Some(stored) = self.stored.get_mut(&key) {
+            if stored.item.revision >= item.revision {
                 return false;
             }
-            if held.item.content == item.content {
-                held.item.revision = item.revision;
+            if stored.item.content == item.content {
+                stored.item.revision = item.revision;
                 return false;
             }
         }
-        self.gone.remove(&key);
-        self.at += 1;
-        self.recent.note(self.at, key.clone());
-        self.held.insert(key, Held { position: self.at, item });
+        self.removal_revisions.remove(&key);
+        self.position += 1;
+        self.recent_changes.record(self.position, key.clone());
+        self.stored.insert(key, StoredItem { position: self.position, item });
         true
     }
 
-    /// An item is gone since a revision of the store; returns whether it was there.
+    /// Removes an item at a store revision; returns whether it was there.
     pub fn remove(&mut self, kind: ItemKind, name: &str, revision: u64) -> bool {
         self.remove_item((kind as i32, name.to_owned()), revision)
     }
 
-    /// An item is gone, which may be of a kind that only a newer build knows.
+    /// Removes an item, whose kind may be one that only a newer build knows.
     fn remove_item(&mut self, key: Key, revision: u64) -> bool {
         self.revision = self.revision.max(revision);
-        if self.held.get(&key).is_some_and(|held| held.item.revision > revision) {
+        if self.stored.get(&key).is_some_and(|stored| stored.item.revision > revision) {
             return false;
         }
         self.remove_key(key, revision)
     }
 
     fn remove_key(&mut self, key: Key, revision: u64) -> bool {
-        if self.held.remove(&key).is_none() {
+        if self.stored.remove(&key).is_none() {
             return false;
         }
-        self.at += 1;
-        self.gone.insert(key.clone(), revision);
-        self.removed.push_back((self.at, key));
-        if self.removed.len() > REMEMBERED_REMOVALS
-            && let Some((position, forgotten)) = self.removed.pop_front()
+        self.position += 1;
+        self.removal_revisions.insert(key.clone(), revision);
+        self.removals.push_back((self.position, key));
+        if self.removals.len() > MAX_REMOVALS
+            && let Some((position, evicted)) = self.removals.pop_front()
         {
-            self.gone.remove(&forgotten);
-            self.whole_since = self.whole_since.max(position);
+            self.removal_revisions.remove(&evicted);
+            self.incremental_since = self.incremental_since.max(position);
         }
         true
     }
 
-    /// Whether a follower would be told something that it does not know.
+    /// Whether a response to this request would carry anything new.
     pub fn has_news_for(&self, request: &FollowRequest) -> bool {
-        request.life != self.life || request.after < self.at || request.part_behind.is_some()
+        request.life != self.life || request.after < self.position || request.part_behind.is_some()
     }
 
-    /// What a follower does not know yet.
+    /// Returns the changes that a follower lacks, or a full response if its position is unknown or too old.
     pub fn changes(&self, request: &FollowRequest, now: Timestamp) -> Changes {
-        let is_later_part = request.part_behind.is_some();
-        let is_whole = is_later_part || request.life != self.life || request.after < self.whole_since;
+        let is_continuation = request.part_behind.is_some();
+        let is_whole = is_continuation || request.life != self.life || request.after < self.incremental_since;
         let after = if is_whole { 0 } else { request.after };
         let mut changes: Vec<ItemChange> = Vec::new();
-        // Whoever gets everything takes what is missing for gone. Of an evacuation that is not enough: a follower that
-        // heard of it in another feed takes it back only by its revision, as this feed may be behind that one.
-        let is_told = |kind: i32| !is_whole || kind == ItemKind::Evacuation as i32;
-        let removed = self.removed.iter().filter(|(position, key)| {
-            *position > after && is_told(key.0) && !is_later_part && !self.held.contains_key(key)
+        // In a full response, items that are missing count as removed. This is not enough for evacuations: a
+        // follower that learned of one from another feed drops it only by the revision of its removal, as
+        // this feed may lag behind the other.
+        let sends_removal = |kind: i32| !is_whole || kind == ItemKind::Evacuation as i32;
+        let removals = self.removals.iter().filter(|(position, key)| {
+            *position > after && sends_removal(key.0) && !is_continuation && !self.stored.contains_key(key)
         });
-        changes.extend(removed.map(|(_, (kind, name))| {
-            let revision = self.gone.get(&(*kind, name.clone())).copied().unwrap_or(0);
+        changes.extend(removals.map(|(_, (kind, name))| {
+            let revision = self.removal_revisions.get(&(*kind, name.clone())).copied().unwrap_or(0);
             let item = Item { kind: *kind, name: name.clone(), revision, ..Item::default() };
             ItemChange { item: Some(item), is_gone: true }
         }));
-        let there = |held: &Held| ItemChange { item: Some(held.item.clone()), is_gone: false };
+        let to_change = |stored: &StoredItem| ItemChange { item: Some(stored.item.clone()), is_gone: false };
         let mut more_behind = None;
         if is_whole && request.takes_parts {
-            more_behind = self.part(request.part_behind.as_ref(), |held| changes.push(there(held)));
+            more_behind =
+                self.visit_part(request.part_behind.as_ref(), |stored| changes.push(to_change(stored)));
         } else {
-            changes.extend(self.changed_since(after).map(there));
+            changes.extend(self.changed_since(after).map(to_change));
         }
-        let is_recent = now.since(self.listed_at) < OUTAGE_MATTERS_FOR;
+        let is_recent = now.since(self.outage_listed_at) < OUTAGE_REPORT_PERIOD;
         let outage = if is_whole && is_recent { self.outage } else { Duration::ZERO };
-        // Rounded up, as what is older must not seem newer.
+        // Rounded up, so that the age is never understated.
         let age = self.configuration_age(now).map(|age| age + Duration::from_millis(1));
         Changes {
             life: self.life,
-            at: self.at,
+            at: self.position,
             is_whole,
             outage_millis: u64::try_from(outage.as_millis()).unwrap_or(u64::MAX),
             is_current: self.is_current(),
             changes,
             hears_store: self.hears_store(),
-            configurations_to: self.known_to(ItemKind::Configuration),
-            engines_to: self.known_to(ItemKind::Engine),
-            evacuations_to: self.known_to(ItemKind::Evacuation),
+            configurations_to: self.known_revision(ItemKind::Configuration),
+            engines_to: self.known_revision(ItemKind::Engine),
+            evacuations_to: self.known_revision(ItemKind::Evacuation),
             configuration_age_millis: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             held_millis: 0,
             more_behind,
         }
     }
 
-    /// Items that changed behind a position and are still there.
-    fn changed_since(&self, after: u64) -> impl Iterator<Item = &Held> {
-        let recent = self.recent.since(after);
-        let all = self.held.values().filter(move |held| held.position > after);
-        // One of the two is empty.
+    /// Items that changed after a position and still exist.
+    fn changed_since(&self, after: u64) -> impl Iterator<Item = &StoredItem> {
+        let recent = self.recent_changes.since(after);
+        let all = self.stored.values().filter(move |stored| stored.position > after);
+        // Either `all` or `recent` is empty.
         let all = recent.is_none().then_some(all).into_iter().flatten();
         let recent = recent.into_iter().flatten();
-        let still_there =
-            recent.filter_map(|(position, key)| self.held.get(key).filter(|held| held.position == *position));
-        still_there.chain(all)
+        let still_present = recent
+            .filter_map(|(position, key)| self.stored.get(key).filter(|stored| stored.position == *position));
+        still_present.chain(all)
     }
 
-    /// Tells items behind a place, as many as make a part; returns the last one where there are more.
-    fn part(&self, behind: Option<&ItemKey>, mut tell: impl FnMut(&Held)) -> Option<ItemKey> {
-        let behind = behind.map(|key| (key.kind, key.name.clone()));
-        let from = behind.map_or(Bound::Unbounded, Bound::Excluded);
+    /// Visits the items of one part, those after `after`; returns the last one if there are more.
+    fn visit_part(&self, after: Option<&ItemKey>, mut visit: impl FnMut(&StoredItem)) -> Option<ItemKey> {
+        let after = after.map(|key| (key.kind, key.name.clone()));
+        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut bytes = 0;
         let mut last: Option<&Key> = None;
-        for (key, held) in self.held.range((from, Bound::Unbounded)) {
+        for (key, stored) in self.stored.range((start, Bound::Unbounded)) {
             if let Some((kind, name)) = last.filter(|_| bytes >= PART_BYTES) {
                 return Some(ItemKey { kind: *kind, name: name.clone() });
             }
-            bytes += key.1.len() + held.item.content.len();
+            bytes += key.1.len() + stored.item.content.len();
             last = Some(key);
-            tell(held);
+            visit(stored);
         }
         None
     }
 }
 
-/// The store's revision up to which changes tell everything, of each kind whose items may go.
-fn told_up_to(changes: &Changes) -> [(ItemKind, u64); 3] {
+/// Store revisions up to which the changes are complete, for each kind whose items may be removed.
+fn complete_revisions(changes: &Changes) -> [(ItemKind, u64); 3] {
     [
         (ItemKind::Configuration, changes.configurations_to),
         (ItemKind::Engine, changes.engines_to),
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -1,15 +1,15 @@
-//! Passing on what a few nodes learn from an outside store: the configuration and the engines.
+//! Distribution of the configuration, the engines and other objects of an external store to all nodes.
 //!
-//! A store bears only a few readers and each call to it costs. So only the members of the ledger's group follow it;
-//! each of them keeps a [`Feed`], and every other node follows one of these feeds. A follower asks its feed for changes
-//! behind a position and is answered when there are some, or after a while without. [`SourceChoice`] says which feed to
-//! ask, and when the follower must go to the store itself.
+//! A store supports only a few readers, and each request costs. So only the members of the ledger's group
+//! follow it. Each of them keeps a [`Feed`], and every other node follows one of these feeds: it requests the
+//! changes after a position, and the response waits until there are some or a timeout ends. [`SourceChoice`]
+//! selects the feed to ask, and decides when a follower must use the store itself.
 //!
-//! Nothing here reads a clock or a socket.
+//! The crate does no I/O and reads no clock; callers pass the time in.
 
 mod feed;
 mod message;
-mod recent;
+mod recent_changes;
 mod source_choice;
 
 pub use feed::{Feed, Listed};
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -1,146 +1,145 @@
-//! What feeds and followers tell each other, and the form in which a feed outlasts its process. All are protocol
-//! buffers.
+//! Protocol-buffer messages between feeds and followers, and the form in which a feed is persisted.
 
 use bytes::Bytes;
 
-/// What an item is.
+/// Kind of an [`Item`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
+#[allow(missing_docs)]
 pub enum ItemKind {
-    /// The configuration.
     Configuration = 0,
-    /// An engine.
     Engine = 1,
-    /// The groups of the ledger.
+    /// The replication groups of the ledger.
     Groups = 2,
-    /// A machine that is to be emptied.
+    /// A machine that is being drained for removal.
     Retirement = 3,
-    /// A zone whose engines are to get nothing new.
+    /// A zone whose engines get no new calls.
     Evacuation = 4,
 }
 
-/// An object of the outside store. Its content means nothing here.
+/// An object of the external store; its content is opaque here.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Item {
-    /// What it is.
+    /// An [`ItemKind`]; unknown values come from newer builds.
     #[prost(enumeration = "ItemKind", tag = "1")]
     pub kind: i32,
-    /// Name within its kind.
+    /// Unique within its kind.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Content.
+    /// Empty for a removed item.
     #[prost(bytes = "bytes", tag = "3")]
     pub content: Bytes,
-    /// The store's revision at its last change, or at its removal.
+    /// Store revision of the last change or of the removal.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
 }
 
 impl Item {
-    /// An item.
+    /// Creates an item of a kind that this build knows.
     pub fn new(kind: ItemKind, name: &str, content: Bytes, revision: u64) -> Self {
         Self { kind: kind as i32, name: name.to_owned(), content, revision }
     }
 
-    /// What it is; `None` where only a newer build knows. [`Item::kind`] takes such an item for a configuration.
+    /// The kind; `None` if only a newer build knows it. [`Item::kind`] returns `Configuration` for such an
+    /// item.
     pub fn known_kind(&self) -> Option<ItemKind> {
         ItemKind::try_from(self.kind).ok()
     }
 }
 
-/// A change of an item.
+/// Change or removal of an item.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemChange {
-    /// The item; without content where it is gone.
+    /// The item; without content if it was removed.
     #[prost(message, optional, tag = "1")]
     pub item: Option<Item>,
-    /// Whether it is gone.
+    /// Whether the item was removed.
     #[prost(bool, tag = "2")]
     pub is_gone: bool,
 }
 
-/// A follower asks for changes.
+/// Request of a follower for changes.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FollowRequest {
-    /// Life of the feed that `after` belongs to; 0 where the follower has nothing.
+    /// Incarnation of the feed that `after` belongs to; 0 if the follower has no state.
     #[prost(uint64, tag = "1")]
     pub life: u64,
-    /// Position up to which the follower knows everything.
+    /// Position up to which the follower has all changes.
     #[prost(uint64, tag = "2")]
     pub after: u64,
-    /// How long the answer may wait for a change, in milliseconds.
+    /// Maximum time in milliseconds that the response may wait for a change.
     #[prost(uint64, tag = "3")]
     pub wait_millis: u64,
-    /// Whether everything there is may be told in parts, each by a question of its own.
+    /// Whether a full response may be split into parts, each with a request of its own.
     #[prost(bool, tag = "4")]
     pub takes_parts: bool,
-    /// The item behind which the next part begins.
+    /// Last item of the previous part; the next one starts after it.
     #[prost(message, optional, tag = "5")]
     pub part_behind: Option<ItemKey>,
 }
 
-/// An item's place among all items.
+/// Key by which items are ordered.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemKey {
-    /// What it is, see [`ItemKind`].
+    /// See [`ItemKind`].
     #[prost(int32, tag = "1")]
     pub kind: i32,
-    /// Name within its kind.
+    /// Unique within its kind.
     #[prost(string, tag = "2")]
     pub name: String,
 }
 
-/// The answer of a feed.
+/// Response of a feed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Changes {
-    /// Life of the feed.
+    /// Incarnation of the feed.
     #[prost(uint64, tag = "1")]
     pub life: u64,
-    /// Position up to which the follower knows everything now.
+    /// Position up to which the follower has all changes after this response.
     #[prost(uint64, tag = "2")]
     pub at: u64,
-    /// Whether the changes are everything there is: what is not among them is gone.
+    /// Whether the response is full: items that are not in it were removed.
     #[prost(bool, tag = "3")]
     pub is_whole: bool,
-    /// How long the store was out of reach before the feed listed it, in milliseconds, where that was only just now:
-    /// engines may be missing only because they could not report meanwhile.
+    /// Duration in milliseconds of a store outage that ended just before the feed listed the store; 0
+    /// otherwise. Engines may be missing only because they could not report during it.
     #[prost(uint64, tag = "4")]
     pub outage_millis: u64,
-    /// Whether the feed is up to date: its node hears from the store, or takes in the feed of one that does.
+    /// Whether the feed is up to date: its node reaches the store, or merges the feed of a node that does.
     #[prost(bool, tag = "5")]
     pub is_current: bool,
-    /// The changes.
+    /// Changes since the requested position, or all items of a full response.
     #[prost(message, repeated, tag = "6")]
     pub changes: Vec<ItemChange>,
-    /// Whether the feed's own node hears from the store.
+    /// Whether the feed's own node reaches the store.
     #[prost(bool, tag = "7")]
     pub hears_store: bool,
-    /// The store's revision up to which all changes of the configuration are among what was told.
+    /// Store revision up to which all changes of the configuration are known.
     #[prost(uint64, tag = "8")]
     pub configurations_to: u64,
-    /// The same of the engines.
+    /// Store revision up to which all changes of engines are known.
     #[prost(uint64, tag = "9")]
     pub engines_to: u64,
-    /// How long ago, in milliseconds, the configuration held was known to be the store's newest, when this was told;
-    /// nothing where it never was.
+    /// Time in milliseconds since the configuration was last known to be the store's newest, as of this
+    /// response; `None` if it never was.
     #[prost(uint64, optional, tag = "10")]
     pub configuration_age_millis: Option<u64>,
-    /// How long the question waited for this answer, in milliseconds: the age is of the time at which it was asked and
-    /// so much later.
+    /// Time in milliseconds that the request waited for this response. The age refers to the time of the
+    /// request plus this.
     #[prost(uint64, tag = "11")]
     pub held_millis: u64,
-    /// The store's revision up to which all evacuations are among what was told; 0 where the feed never heard of them.
+    /// Store revision up to which all changes of evacuations are known; 0 if the feed has never listed them.
     #[prost(uint64, tag = "12")]
     pub evacuations_to: u64,
-    /// The last item of a part of everything there is, where there are more behind it.
+    /// Last item of this part of a full response, if more parts follow.
     #[prost(message, optional, tag = "13")]
     pub more_behind: Option<ItemKey>,
 }
 
-/// Everything a feed holds, for its next life.
+/// All items of a feed, persisted for the next start of its process.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Snapshot {
-    /// The items.
+    /// Items of all kinds.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<Item>,
 }
--- a/crates/dissemination/src/source_choice.rs
+++ b/crates/dissemination/src/source_choice.rs
@@ -1,117 +1,119 @@
-//! Which feed a follower asks, and when it must go to the store itself.
+//! Selects the feed that a follower asks, and decides when it uses the store itself.
 
 use std::time::Duration;
 
 use sumacdrift_types::Timestamp;
 
-/// Feeds that are asked one after the other before the store is turned to.
-const TRIES: usize = 3;
-/// How long a follower that hears from the store itself leaves the feeds alone.
-const STORE_TIME: Duration = Duration::from_secs(2);
+/// Consecutive feeds that may fail to respond before the follower switches to the store.
+const MAX_SILENT_FEEDS: usize = 3;
+/// Time that a follower uses the store before it tries feeds again.
+const STORE_PERIOD: Duration = Duration::from_secs(2);
 
-/// What asking a feed led to.
+/// Outcome of a request to a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// An answer of a feed that hears from the store.
+    /// Response of a feed that is up to date.
     Current,
-    /// An answer of a feed that does not hear from the store.
+    /// Response of a feed that is not up to date.
     Stale,
-    /// No answer.
+    /// No response.
     Nothing,
 }
 
-/// What to do next.
+/// Next source of a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextSource {
-    /// Ask the feed at this place of the list; whether it may wait for a change.
+    /// Request changes from a feed.
     Feed {
-        /// Place in the list of feeds, modulo its length.
+        /// Index in the list of feeds.
         place: usize,
-        /// Whether the answer may wait.
+        /// Whether the response may wait for a change.
         may_wait: bool,
     },
-    /// Follow the store itself until this time.
+    /// Follow the store until a time.
     Store {
-        /// When feeds are asked again.
+        /// When feeds are tried again.
         until: Timestamp,
     },
-    /// Wait for feeds to be known until this time.
+    /// Wait for feeds to become known.
     Wait {
-        /// When the store is turned to.
+        /// When the follower switches to the store if there are still none.
         until: Timestamp,
     },
 }
 
-/// Which feed to ask.
+/// Chooses between feeds and the store.
 ///
-/// A follower stays with a feed that hears from the store. It goes on to the next one when there is no answer, or when
-/// the feed itself does not hear from the store. Where [`TRIES`] feeds in a row say nothing it follows the store for a
-/// while. Where they answer but none of them hears from the store, the store is most likely down, and asking it from
-/// every node would only add to its load: the follower goes round the feeds, one wait each.
+/// A follower stays with a feed that reaches the store, and moves on to the next one if a request fails or
+/// the feed does not reach the store. After [`MAX_SILENT_FEEDS`] consecutive failures it follows the store
+/// for a while. If feeds respond but none reaches the store, the store is most likely down, and requests from
+/// every node would only add to its load: the follower cycles through the feeds, with one waiting request to
+/// each.
 #[derive(Debug, Clone)]
 pub struct SourceChoice {
-    patient_until: Timestamp,
-    place: usize,
-    silent_in_a_row: usize,
-    stale_in_a_row: usize,
+    wait_for_feeds_until: Timestamp,
+    next_feed: usize,
+    consecutive_silent: usize,
+    consecutive_stale: usize,
     store_until: Option<Timestamp>,
 }
 
 impl SourceChoice {
-    /// A follower that has asked nobody yet, and waits so long for feeds to come up before it turns to the store.
-    pub fn new(now: Timestamp, start_patience: Duration) -> Self {
+    /// Starts without a known feed; if none becomes known within `startup_wait`, the follower switches to the
+    /// store.
+    pub fn new(now: Timestamp, startup_wait: Duration) -> Self {
         Self {
-            patient_until: now + start_patience,
-            place: 0,
-            silent_in_a_row: 0,
-            stale_in_a_row: 0,
+            wait_for_feeds_until: now + startup_wait,
+            next_feed: 0,
+            consecutive_silent: 0,
+            consecutive_stale: 0,
             store_until: None,
         }
     }
 
-    /// What to do next, with so many feeds known.
+    /// Returns the next source; `feeds` is the number of known feeds.
     pub fn next(&mut self, feeds: usize, now: Timestamp) -> NextSource {
         if let Some(until) = self.store_until.take().filter(|until| *until > now) {
             self.store_until = Some(until);
             return NextSource::Store { until };
         }
         if feeds == 0 {
-            if now < self.patient_until {
-                return NextSource::Wait { until: self.patient_until };
+            if now < self.wait_for_feeds_until {
+                return NextSource::Wait { until: self.wait_for_feeds_until };
             }
-            return self.turn_to_store(now);
+            return self.switch_to_store(now);
         }
-        if self.silent_in_a_row >= TRIES.min(feeds) {
-            return self.turn_to_store(now);
+        if self.consecutive_silent >= MAX_SILENT_FEEDS.min(feeds) {
+            return self.switch_to_store(now);
         }
-        // Having gone once round stale feeds there is nothing better than to wait at each.
+        // After one round of stale feeds, waiting at each of them is all that is left.
         let may_wait =
-            self.silent_in_a_row == 0 && (self.stale_in_a_row == 0 || self.stale_in_a_row >= feeds);
-        NextSource::Feed { place: self.place % feeds, may_wait }
+            self.consecutive_silent == 0 && (self.consecutive_stale == 0 || self.consecutive_stale >= feeds);
+        NextSource::Feed { place: self.next_feed % feeds, may_wait }
     }
 
-    /// What the feed that was asked said.
+    /// Records the outcome of the last request to a feed.
     pub fn heard(&mut self, heard: Heard) {
         match heard {
             Heard::Current => {
-                self.silent_in_a_row = 0;
-                self.stale_in_a_row = 0;
+                self.consecutive_silent = 0;
+                self.consecutive_stale = 0;
             }
             Heard::Stale => {
-                self.silent_in_a_row = 0;
-                self.stale_in_a_row += 1;
-                self.place += 1;
+                self.consecutive_silent = 0;
+                self.consecutive_stale += 1;
+                self.next_feed += 1;
             }
             Heard::Nothing => {
-                self.silent_in_a_row += 1;
-                self.place += 1;
+                self.consecutive_silent += 1;
+                self.next_feed += 1;
             }
         }
     }
 
-    fn turn_to_store(&mut self, now: Timestamp) -> NextSource {
-        self.silent_in_a_row = 0;
-        let until = now + STORE_TIME;
+    fn switch_to_store(&mut self, now: Timestamp) -> NextSource {
+        self.consecutive_silent = 0;
+        let until = now + STORE_PERIOD;
         self.store_until = Some(until);
         NextSource::Store { until }
     }
--- a/crates/dissemination/tests/feed.rs
+++ b/crates/dissemination/tests/feed.rs
@@ -1,4 +1,4 @@
-//! What followers of a feed are told: a model of a follower must always end up with what the feed holds.
+//! A model of a follower must always end up with the items of the feed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     Listed { kind: ItemKind::Engine, items, revision, outage }
 }
 
-/// A follower: applies what it is told.
+/// A follower that applies the responses of a feed.
 #[derive(Default)]
 struct Model {
     life: u64,
@@ -41,7 +41,7 @@
             self.items.clear();
         }
         for change in &changes.changes {
-            let item = change.item.clone().expect("an item");
+            let item = change.item.clone().expect("change has an item");
             if change.is_gone {
                 self.items.remove(&item.name);
             } else {
@@ -52,17 +52,17 @@
     }
 }
 
-fn held(feed: &Feed) -> BTreeMap<String, Bytes> {
+fn items_of(feed: &Feed) -> BTreeMap<String, Bytes> {
     feed.snapshot().items.into_iter().map(|item| (item.name, item.content)).collect()
 }
 
 #[test]
-fn a_follower_gets_everything_once_and_changes_from_then_on() {
+fn follower_gets_one_full_response_then_changes() {
     let mut feed = Feed::new(7);
     feed.list(listed(vec![engine("a", "1", 1), engine("b", "1", 2)], 2, Duration::ZERO), at(0));
     let mut model = Model::default();
     assert!(model.follow(&feed, at(1)).is_whole);
-    assert_eq!(model.items, held(&feed));
+    assert_eq!(model.items, items_of(&feed));
     assert!(!feed.has_news_for(&model.request()));
     feed.put(engine("c", "1", 3));
     feed.remove(ItemKind::Engine, "a", 4);
@@ -70,12 +70,12 @@
     let changes = model.follow(&feed, at(2));
     assert!(!changes.is_whole);
     assert_eq!(changes.changes.len(), 2);
-    assert_eq!(model.items, held(&feed));
+    assert_eq!(model.items, items_of(&feed));
     assert_eq!(feed.revision(), 4);
 }
 
 #[test]
-fn the_same_content_again_is_no_news() {
+fn unchanged_content_makes_no_change() {
     let mut feed = Feed::new(7);
     feed.list(listed(vec![engine("a", "1", 1)], 1, Duration::ZERO), at(0));
     let position = feed.position();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn followers_learn_of_an_outage_after_which_engines_are_missing() {
+fn outage_is_reported_when_engines_are_missing_after_it() {
     let mut feed = Feed::new(7);
     feed.list(listed(vec![engine("a", "1", 1), engine("b", "1", 1)], 1, Duration::ZERO), at(0));
     let mut model = Model::default();
@@ -95,14 +95,14 @@
     let changes = model.follow(&feed, at(5_010));
     assert!(changes.is_whole);
     assert_eq!(changes.outage_millis, 4_000);
-    assert_eq!(model.items, held(&feed));
-    // One who comes later is told of no outage: who is still missing is gone.
-    let late = Model::default().follow(&feed, at(9_000));
-    assert_eq!(late.outage_millis, 0);
+    assert_eq!(model.items, items_of(&feed));
+    // A later follower is not told of the outage: engines that are still missing are gone.
+    let later = Model::default().follow(&feed, at(9_000));
+    assert_eq!(later.outage_millis, 0);
 }
 
 #[test]
-fn a_feed_is_current_once_every_kind_was_listed_and_until_the_store_fails() {
+fn feed_is_current_from_the_first_lists_until_the_store_fails() {
     let mut feed = Feed::new(7);
     feed.restore(sumacdrift_dissemination::Snapshot { items: vec![engine("a", "1", 1)] });
     assert!(!feed.is_current());
@@ -119,61 +119,63 @@
     assert!(feed.store_failed(ItemKind::Engine));
     assert!(!feed.store_failed(ItemKind::Engine));
     assert!(!feed.is_current());
-    // The list of one kind leaves the other as it is.
+    // A list of one kind leaves items of other kinds alone.
     feed.list(listed(Vec::new(), 3, Duration::ZERO), at(0));
     assert!(feed.is_current());
-    assert_eq!(held(&feed).keys().collect::<Vec<_>>(), ["main"]);
+    assert_eq!(items_of(&feed).keys().collect::<Vec<_>>(), ["main"]);
 }
 
 #[test]
-fn a_follower_of_another_feed_gets_everything() {
-    let (mut one, mut other) = (Feed::new(1), Feed::new(2));
-    for feed in [&mut one, &mut other] {
+fn follower_that_switches_feeds_gets_a_full_response() {
+    let (mut first, mut second) = (Feed::new(1), Feed::new(2));
+    for feed in [&mut first, &mut second] {
         feed.list(listed(vec![engine("a", "1", 1), engine("b", "1", 1)], 1, Duration::ZERO), at(0));
     }
     let mut model = Model::default();
-    model.follow(&one, at(0));
-    other.remove(ItemKind::Engine, "b", 2);
-    assert!(model.follow(&other, at(0)).is_whole);
-    assert_eq!(model.items, held(&other));
+    model.follow(&first, at(0));
+    second.remove(ItemKind::Engine, "b", 2);
+    assert!(model.follow(&second, at(0)).is_whole);
+    assert_eq!(model.items, items_of(&second));
 }
 
 #[test]
-fn followers_that_miss_any_number_of_changes_end_up_with_what_the_feed_holds() {
-    let mut random = ChaCha8Rng::seed_from_u64(1);
-    let mut next = |bound: u64| random.random_range(0..bound);
+fn lagging_followers_converge_to_the_feed() {
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    let mut next = |bound: u64| rng.random_range(0..bound);
     let mut feed = Feed::new(7);
     let mut models: Vec<Model> = (0..4).map(|_| Model::default()).collect();
-    let mut wholes = 0;
+    let mut full_responses = 0;
     for step in 0..20_000_u64 {
         let name = format!("e{}", next(40));
         match next(20) {
             0 => {
-                let left = feed.snapshot().items.into_iter().filter(|_| next(8) > 0).collect();
+                let remaining = feed.snapshot().items.into_iter().filter(|_| next(8) > 0).collect();
                 let outage = Duration::from_millis(next(2) * 2_000);
-                feed.list(listed(left, step, outage), at(step));
+                feed.list(listed(remaining, step, outage), at(step));
             }
             1..8 => drop(feed.remove(ItemKind::Engine, &name, step)),
             _ => drop(feed.put(engine(&name, &next(3).to_string(), step))),
         }
-        // Followers are asked ever more rarely, so that the last one falls behind what is remembered.
+        // Each follower polls less often than the one before; the last one lags beyond the removals that are
+        // kept.
         for (position, model) in models.iter_mut().enumerate() {
             if next(10_u64.pow(position as u32 + 1)) == 0 {
-                wholes += usize::from(model.follow(&feed, at(step)).is_whole);
-                assert_eq!(model.items, held(&feed), "step {step}");
+                full_responses += usize::from(model.follow(&feed, at(step)).is_whole);
+                assert_eq!(model.items, items_of(&feed), "step {step}");
             }
         }
     }
-    assert!(wholes > 10, "{wholes}");
+    assert!(full_responses > 10, "{full_responses}");
 }
 
 fn evacuation(zone: &str, revision: u64) -> Item {
     Item::new(ItemKind::Evacuation, zone, Bytes::from_static(b"{}"), revision)
 }
 
-/// A follower that heard of an evacuation elsewhere learns of its end by the revision, though it gets everything anew.
+/// A full response carries the removal of an evacuation with its revision, for followers that learned of the
+/// evacuation from another feed.
 #[test]
-fn the_end_of_an_evacuation_is_told_to_whoever_gets_everything() {
+fn full_response_includes_removed_evacuations() {
     let mut feed = Feed::new(1);
     feed.put(evacuation("z1", 5));
     assert!(feed.remove(ItemKind::Evacuation, "z1", 7));
@@ -181,34 +183,35 @@
     assert!(feed.remove(ItemKind::Engine, "e", 9));
     let changes = feed.changes(&FollowRequest { life: 99, after: 3, ..FollowRequest::default() }, at(1));
     assert!(changes.is_whole);
-    let told: Vec<_> = changes.changes.iter().map(|change| (change.is_gone, change.item.clone())).collect();
-    assert_eq!(told.len(), 1, "engines that are gone are just missing: {told:?}");
-    let (is_gone, item) = &told[0];
-    let item = item.as_ref().expect("an item");
+    let received: Vec<_> =
+        changes.changes.iter().map(|change| (change.is_gone, change.item.clone())).collect();
+    assert_eq!(received.len(), 1, "removed engines must not be sent: {received:?}");
+    let (is_gone, item) = &received[0];
+    let item = item.as_ref().expect("change has an item");
     assert_eq!((*is_gone, item.kind(), item.revision), (true, ItemKind::Evacuation, 7));
 }
 
-/// What a newer build tells of kinds that this one doesn't know is passed on, and touches nothing else of its name.
+/// Changes of kinds that only newer builds know are passed on, and don't affect items of the same name.
 #[test]
-fn items_of_kinds_that_are_not_known_come_and_go_by_themselves() {
+fn items_of_unknown_kinds_are_stored_and_removed() {
     let unknown = |revision| Item { kind: 99, name: "main".to_owned(), revision, ..Item::default() };
-    let told = |item, is_gone| Changes {
+    let changes_of = |item, is_gone| Changes {
         life: 7,
         changes: vec![ItemChange { item: Some(item), is_gone }],
         ..Changes::default()
     };
     let mut feed = Feed::new(1);
     feed.put(Item::new(ItemKind::Configuration, "main", Bytes::from_static(b"configuration"), 3));
-    feed.merge(told(unknown(5), false), at(1));
+    feed.merge(changes_of(unknown(5), false), at(1));
     assert_eq!(feed.snapshot().items.len(), 2);
-    feed.merge(told(unknown(6), true), at(2));
+    feed.merge(changes_of(unknown(6), true), at(2));
     let items = feed.snapshot().items;
     assert_eq!(items.iter().map(Item::known_kind).collect::<Vec<_>>(), [Some(ItemKind::Configuration)]);
 }
 
-/// A node's next life knows the evacuations of the one before, so that its followers do before their first choice.
+/// Evacuations are known to followers before their first choice after a restart.
 #[test]
-fn evacuations_outlast_the_process() {
+fn evacuations_survive_a_restart() {
     let mut feed = Feed::new(1);
     feed.put(evacuation("z1", 5));
     let mut next = Feed::new(2);
@@ -218,9 +221,9 @@
     assert_eq!(items.iter().map(|item| item.name.as_str()).collect::<Vec<_>>(), ["z1"]);
 }
 
-/// A node whose feed is behind neither takes an evacuation back nor brings one back in another node's feed.
+/// A lagging feed neither cancels nor revives an evacuation in another feed.
 #[test]
-fn a_feed_that_is_behind_says_nothing_of_evacuations() {
+fn lagging_feed_does_not_change_evacuations() {
     let mut ahead = Feed::new(1);
     ahead.put(evacuation("z1", 5));
     let mut behind = Feed::new(2);
@@ -237,13 +240,13 @@
 }
 
 #[test]
-fn a_follower_is_told_everything_however_far_behind_it_is() {
-    let mut random = ChaCha8Rng::seed_from_u64(41);
+fn followers_get_all_changes_at_any_lag() {
+    let mut rng = ChaCha8Rng::seed_from_u64(41);
     let mut feed = Feed::new(7);
     let mut followers: Vec<Model> = (0..6).map(|_| Model::default()).collect();
     for step in 1..=12_000_u64 {
-        let name = format!("e{}", random.random_range(0..700));
-        match random.random_range(0..10) {
+        let name = format!("e{}", rng.random_range(0..700));
+        match rng.random_range(0..10) {
             0 => {
                 feed.remove(ItemKind::Engine, &name, step);
             }
@@ -251,11 +254,11 @@
                 feed.put(engine(&name, &format!("{step}"), step));
             }
         }
-        // One asks at each change, the last one once in some thousands.
-        for (place, follower) in followers.iter_mut().enumerate() {
-            if step % 6_u64.pow(place as u32) == 0 {
+        // The first follower polls on each change, the last one every 6^5 changes.
+        for (index, follower) in followers.iter_mut().enumerate() {
+            if step % 6_u64.pow(index as u32) == 0 {
                 follower.follow(&feed, at(step));
-                assert_eq!(follower.items, held(&feed), "step {step}, follower {place}");
+                assert_eq!(follower.items, items_of(&feed), "step {step}, follower {index}");
             }
         }
     }
--- a/crates/dissemination/tests/recorded_forms/main.rs
+++ b/crates/dissemination/tests/recorded_forms/main.rs
@@ -1,7 +1,8 @@
-//! What feeds and followers tell each other, as earlier builds wrote it, is read; today's is written as it was recorded, and
-//! earlier builds read it.
+//! Compatibility of the messages between feeds and followers: recorded messages of earlier builds are read,
+//! today's messages are written as recorded and read by earlier builds.
 //!
-//! A new form is added as `sumacdrift_recorded_forms` says; lines of `fixtures/feeds.txt` are never changed.
+//! New forms are added as `sumacdrift_recorded_forms` describes; lines of `fixtures/feeds.txt` are never
+//! changed.
 
 mod older;
 
@@ -14,11 +15,11 @@
 const CHANGES: &str = "Changes";
 const SNAPSHOT: &str = "Snapshot";
 
-/// Kinds of items. A new one does not compile until [`item_of`] has an item of it.
+/// All kinds. A new kind does not compile until [`item_of`] covers it.
 const ITEM_KINDS: [ItemKind; 5] =
     [ItemKind::Configuration, ItemKind::Engine, ItemKind::Groups, ItemKind::Retirement, ItemKind::Evacuation];
 
-/// An item of a kind, as the fullest snapshot holds it.
+/// An item of a kind, as in the recorded snapshot with all kinds.
 fn item_of(kind: ItemKind) -> Item {
     let (name, content, revision): (_, &'static [u8], _) = match kind {
         ItemKind::Configuration => ("main", b"{}", 7),
@@ -34,17 +35,17 @@
     RecordedForms::parse(include_str!("fixtures/feeds.txt"))
 }
 
-fn first_question() -> FollowRequest {
+fn first_request() -> FollowRequest {
     FollowRequest { life: 77, after: 12, wait_millis: 2000, takes_parts: false, part_behind: None }
 }
 
-fn question() -> FollowRequest {
+fn newest_request() -> FollowRequest {
     let part_behind = Some(ItemKey { kind: ItemKind::Engine as i32, name: "e1".to_owned() });
-    FollowRequest { takes_parts: true, part_behind, ..first_question() }
+    FollowRequest { takes_parts: true, part_behind, ..first_request() }
 }
 
 fn first_changes() -> Changes {
-    let gone = Item { content: Bytes::new(), ..item_of(ItemKind::Engine) };
+    let removed = Item { content: Bytes::new(), ..item_of(ItemKind::Engine) };
     Changes {
         life: 77,
         at: 12,
@@ -53,7 +54,7 @@
         is_current: true,
         changes: vec![
             ItemChange { item: Some(item_of(ItemKind::Configuration)), is_gone: false },
-            ItemChange { item: Some(gone), is_gone: true },
+            ItemChange { item: Some(removed), is_gone: true },
         ],
         hears_store: false,
         configurations_to: 0,
@@ -65,8 +66,8 @@
     }
 }
 
-/// Answers as the builds since the first one wrote them, by the number of the form; the last one is today's.
-fn answers() -> [(&'static str, Changes); 5] {
+/// Responses as written by each build since the first, by the number of the form; the last one is today's.
+fn responses() -> [(&'static str, Changes); 5] {
     let with_revisions =
         Changes { hears_store: true, configurations_to: 9, engines_to: 10, ..first_changes() };
     let with_age = Changes { configuration_age_millis: Some(0), held_millis: 40, ..with_revisions.clone() };
@@ -76,8 +77,8 @@
     [("1", first_changes()), ("2", with_revisions), ("3", with_age), ("4", with_evacuations), ("5", in_parts)]
 }
 
-fn newest_answer() -> Changes {
-    let [.., (_, newest)] = answers();
+fn newest_response() -> Changes {
+    let [.., (_, newest)] = responses();
     newest
 }
 
@@ -86,15 +87,15 @@
 }
 
 #[test]
-fn recorded_forms_are_read_and_the_newest_of_them_written() {
+fn recorded_forms_are_read_and_the_newest_is_written() {
     let mut forms = recorded();
-    forms.writes(&Codec::message(), FOLLOW, "2", &question());
+    forms.writes(&Codec::message(), FOLLOW, "2", &newest_request());
     forms.writes_bare(&Codec::message(), FOLLOW, &FollowRequest::default());
-    forms.reads(&Codec::message(), FOLLOW, "1", &first_question());
-    for (form, changes) in answers().iter().take(answers().len() - 1) {
+    forms.reads(&Codec::message(), FOLLOW, "1", &first_request());
+    for (form, changes) in responses().iter().take(responses().len() - 1) {
         forms.reads(&Codec::message(), CHANGES, form, changes);
     }
-    forms.writes(&Codec::message(), CHANGES, "5", &newest_answer());
+    forms.writes(&Codec::message(), CHANGES, "5", &newest_response());
     forms.writes_bare(&Codec::message(), CHANGES, &Changes::default());
     forms.writes(&Codec::message(), SNAPSHOT, "2", &snapshot_of(&ITEM_KINDS));
     forms.writes_bare(&Codec::message(), SNAPSHOT, &Snapshot::default());
@@ -108,20 +109,20 @@
 fn every_kind_of_item_is_recorded() {
     let next = ITEM_KINDS.len() as i32;
     assert_eq!(ITEM_KINDS.map(|kind| kind as i32), [0, 1, 2, 3, 4]);
-    assert!(ItemKind::try_from(next).is_err(), "kind {next} is not among those recorded");
+    assert!(ItemKind::try_from(next).is_err(), "kind {next} has no recorded form");
 }
 
-/// What an earlier build reads from what today's build writes, written again as that build writes it: the recorded form.
-fn reread<M: Message + Default>(newest: &impl Message) -> Vec<u8> {
-    M::decode(newest.encode_to_vec().as_slice()).expect("a message").encode_to_vec()
+/// Decodes a message as an earlier build does and encodes the fields that it knows.
+fn reencode_as<M: Message + Default>(newest: &impl Message) -> Vec<u8> {
+    M::decode(newest.encode_to_vec().as_slice()).expect("valid message").encode_to_vec()
 }
 
 #[test]
-fn earlier_builds_read_what_they_know_of_todays_messages() {
+fn earlier_builds_read_the_known_fields_of_todays_messages() {
     let mut forms = recorded();
-    assert_eq!(reread::<older::FirstQuestion>(&question()), forms.bytes(FOLLOW, "1"));
-    assert_eq!(reread::<older::FirstChanges>(&newest_answer()), forms.bytes(CHANGES, "1"));
-    assert_eq!(reread::<older::ChangesWithRevisions>(&newest_answer()), forms.bytes(CHANGES, "2"));
-    assert_eq!(reread::<older::ChangesWithAge>(&newest_answer()), forms.bytes(CHANGES, "3"));
-    assert_eq!(reread::<older::ChangesWithEvacuations>(&newest_answer()), forms.bytes(CHANGES, "4"));
+    assert_eq!(reencode_as::<older::FirstRequest>(&newest_request()), forms.bytes(FOLLOW, "1"));
+    assert_eq!(reencode_as::<older::FirstChanges>(&newest_response()), forms.bytes(CHANGES, "1"));
+    assert_eq!(reencode_as::<older::ChangesWithRevisions>(&newest_response()), forms.bytes(CHANGES, "2"));
+    assert_eq!(reencode_as::<older::ChangesWithAge>(&newest_response()), forms.bytes(CHANGES, "3"));
+    assert_eq!(reencode_as::<older::ChangesWithEvacuations>(&newest_response()), forms.bytes(CHANGES, "4"));
 }
--- a/crates/dissemination/tests/recorded_forms/older.rs
+++ b/crates/dissemination/tests/recorded_forms/older.rs
@@ -1,10 +1,10 @@
-//! Messages as earlier builds knew them: their fields and numbers, copied from those builds.
+//! Messages of earlier builds, with the fields and tags copied from them.
 
 use sumacdrift_dissemination::ItemChange;
 
-/// Of 32c8d64.
+/// As of build 32c8d64.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct FirstQuestion {
+pub struct FirstRequest {
     #[prost(uint64, tag = "1")]
     pub life: u64,
     #[prost(uint64, tag = "2")]
@@ -13,7 +13,7 @@
     pub wait_millis: u64,
 }
 
-/// An answer with the fields of the first build and these, which were added since.
+/// Defines a response with the fields of the first build and those added since.
 macro_rules! changes {
     ($(#[$about:meta])* $name:ident { $(#[$tag:meta] $field:ident: $type:ty),* $(,)? }) => {
         $(#[$about])*
@@ -37,12 +37,12 @@
 }
 
 changes! {
-    /// Of 32c8d64.
+    /// As of build 32c8d64.
     FirstChanges {}
 }
 
 changes! {
-    /// Of 37707dd.
+    /// As of build 37707dd.
     ChangesWithRevisions {
         #[prost(bool, tag = "7")]
         hears_store: bool,
@@ -54,7 +54,7 @@
 }
 
 changes! {
-    /// Of 31270e8.
+    /// As of build 31270e8.
     ChangesWithAge {
         #[prost(bool, tag = "7")]
         hears_store: bool,
@@ -70,7 +70,7 @@
 }
 
 changes! {
-    /// Of 0808141.
+    /// As of build 0808141.
     ChangesWithEvacuations {
         #[prost(bool, tag = "7")]
         hears_store: bool,
--- a/crates/dissemination/tests/source_choice.rs
+++ b/crates/dissemination/tests/source_choice.rs
@@ -1,4 +1,4 @@
-//! Which feed a follower asks, and when it follows the store itself.
+//! Choice between feeds and the store.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
     Timestamp::default() + Duration::from_millis(millis)
 }
 
-fn place(next: NextSource) -> usize {
+fn feed_index(next: NextSource) -> usize {
     let NextSource::Feed { place, .. } = next else { panic!("{next:?}") };
     place
 }
 
 #[test]
-fn a_follower_stays_with_a_feed_that_hears_from_the_store() {
+fn follower_stays_with_a_current_feed() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     for _ in 0..10 {
         assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 0, may_wait: true });
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn a_feed_that_says_nothing_is_left_for_the_next_one() {
+fn silent_feed_is_replaced_by_the_next() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
-    assert_eq!(place(choice.next(5, at(0))), 0);
+    assert_eq!(feed_index(choice.next(5, at(0))), 0);
     choice.heard(Heard::Nothing);
     assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 1, may_wait: false });
     choice.heard(Heard::Current);
@@ -34,23 +34,23 @@
 }
 
 #[test]
-fn the_store_is_followed_when_three_feeds_say_nothing_and_feeds_are_tried_again() {
+fn store_is_used_for_a_while_after_three_silent_feeds() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     for _ in 0..3 {
-        place(choice.next(5, at(100)));
+        feed_index(choice.next(5, at(100)));
         choice.heard(Heard::Nothing);
     }
-    let NextSource::Store { until } = choice.next(5, at(100)) else { panic!("not the store") };
+    let NextSource::Store { until } = choice.next(5, at(100)) else { panic!("expected the store") };
     assert_eq!(choice.next(5, at(200)), NextSource::Store { until });
-    assert_eq!(place(choice.next(5, until)), 3);
+    assert_eq!(feed_index(choice.next(5, until)), 3);
 }
 
 #[test]
-fn all_feeds_are_asked_at_once_when_one_lost_the_store_and_then_one_wait_each() {
+fn stale_feeds_are_tried_once_without_waiting_then_with_waiting() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     let mut asked = Vec::new();
     for _ in 0..8 {
-        let NextSource::Feed { place, may_wait } = choice.next(3, at(0)) else { panic!("the store") };
+        let NextSource::Feed { place, may_wait } = choice.next(3, at(0)) else { panic!("expected a feed") };
         asked.push((place, may_wait));
         choice.heard(Heard::Stale);
     }
@@ -59,17 +59,17 @@
 }
 
 #[test]
-fn a_single_silent_feed_is_enough_to_turn_to_the_store() {
+fn store_is_used_when_the_only_feed_is_silent() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
-    place(choice.next(1, at(0)));
+    feed_index(choice.next(1, at(0)));
     choice.heard(Heard::Nothing);
     assert!(matches!(choice.next(1, at(0)), NextSource::Store { .. }));
 }
 
 #[test]
-fn a_follower_that_knows_no_feed_waits_a_little_before_it_asks_the_store() {
+fn follower_without_feeds_waits_before_it_uses_the_store() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
-    let NextSource::Wait { until } = choice.next(0, at(0)) else { panic!("no patience") };
+    let NextSource::Wait { until } = choice.next(0, at(0)) else { panic!("expected a wait") };
     assert!(until > at(500) && until < at(2_000));
     assert!(matches!(choice.next(0, until), NextSource::Store { .. }));
 }
