--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector and the spreading of news.
+//! Failure detector and dissemination of member updates.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,105 +9,106 @@
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_types::{Generation, Incarnation, NodeId, Timestamp, stable_hash};
 
-use crate::broadcast::Broadcasts;
+use crate::broadcast::BroadcastQueue;
 use crate::{Directory, Envelope, Member, MemberState, MembershipSettings, Packet};
 
-/// Suspicion lasts at most this many times its shortest time, however large the fleet.
+/// Upper bound on the factor by which suspicion lengthens with the fleet size.
 const MAX_SUSPICION_FACTOR: f64 = 1.5;
-/// Fleet size at which suspicion begins to grow.
-const SUSPICION_BASE_FLEET: f64 = 64.0;
-/// A target that is silent for this many probe timeouts becomes a suspect.
-const PROBE_TIMEOUTS_TO_FAIL: u32 = 3;
-/// Relays of probes for others that are remembered at a time.
-const MAX_RELAYS: usize = 256;
-/// Nodes that are told at once of a new configuration.
-const GENERATION_FANOUT: usize = 4;
-
-/// What the driver must do.
+/// Fleet size from which suspicion lengthens.
+const SUSPICION_BASE_FLEET_SIZE: f64 = 64.0;
+/// A target is suspected after this many probe timeouts without an answer.
+const PROBE_TIMEOUTS_TO_SUSPECT: u32 = 3;
+/// Maximum number of pending probes on behalf of other nodes; the oldest is dropped.
+const MAX_RELAYED_PROBES: usize = 256;
+/// Number of nodes to which a new configuration or a shutdown is announced immediately.
+const ANNOUNCEMENT_FANOUT: usize = 4;
+
+/// Action for the driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message; it may be lost.
+    /// Send a message, which may be lost.
     Send {
-        /// Where to.
+        /// Address of the recipient.
         to: SocketAddr,
-        /// What.
+        /// Message to encode and send.
         envelope: Box<Envelope>,
     },
-    /// Something changed that others on this node want to know.
+    /// Report a change to other components of this node.
     Event(Event),
 }
 
-/// A change of membership.
+/// Change of membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A life of a node came up.
+    /// A new incarnation of a node joined, or a dead one came back.
     Up(Member),
-    /// A member did not answer; it may still refute.
+    /// A member did not answer a probe; it may still refute the suspicion.
     Suspected(Member),
-    /// A life of a node is taken for dead, or was replaced by a later one.
+    /// An incarnation of a node was declared dead, or was replaced by a later one.
     Down {
-        /// The node.
+        /// Node of the incarnation.
         node: NodeId,
-        /// The life that ended.
+        /// Incarnation that ended.
         incarnation: Incarnation,
     },
-    /// A member is being stopped.
+    /// A member is shutting down.
     Leaving(Member),
-    /// This node itself was taken for dead by others; it refuted.
+    /// Others declared this node dead; it refuted.
     OwnDeathRefuted,
-    /// A later life of this node is known: this process was replaced and must stop acting.
+    /// A later incarnation of this node exists: this process was replaced and must stop.
     Replaced,
     /// A peer has a newer configuration in force.
     NewerGeneration {
-        /// The peer.
+        /// Node with the newer configuration.
         peer: NodeId,
-        /// Its generation.
+        /// Generation of the peer's configuration.
         generation: Generation,
     },
 }
 
 #[derive(Debug)]
-struct ProbeUnderWay {
+struct PendingProbe {
     target: NodeId,
     sequence: u64,
-    /// When indirect probes go out.
+    /// When indirect probes are sent.
     indirect_at: Timestamp,
-    is_indirect: bool,
-    /// When the target becomes a suspect.
-    fails_at: Timestamp,
+    is_indirect_sent: bool,
+    /// When the target is suspected.
+    suspect_at: Timestamp,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Relay {
-    asker: SocketAddr,
-    asker_sequence: u64,
+struct RelayedProbe {
+    requester: SocketAddr,
+    requester_sequence: u64,
 }
 
-/// Membership as one node runs it.
+/// State machine of the membership protocol on one node.
 #[derive(Debug)]
 pub struct Detector {
     settings: MembershipSettings,
     own: Member,
     generation: Generation,
     directory: Directory,
-    random: ChaCha8Rng,
-    broadcasts: Broadcasts,
+    rng: ChaCha8Rng,
+    broadcasts: BroadcastQueue,
     suspects: BTreeMap<NodeId, Timestamp>,
     dead: BTreeMap<NodeId, Timestamp>,
-    /// Nodes still to be probed in this round; each round probes all in a new random order.
+    /// Nodes still to be probed in this round. Each round probes all nodes in a new random order.
     round: Vec<NodeId>,
-    probe: Option<ProbeUnderWay>,
+    probe: Option<PendingProbe>,
     is_successor_turn: bool,
-    next_probe: Timestamp,
-    next_exchange: Timestamp,
-    relays: BTreeMap<u64, Relay>,
+    next_probe_at: Timestamp,
+    next_exchange_at: Timestamp,
+    relayed_probes: BTreeMap<u64, RelayedProbe>,
     sequence: u64,
     seeds: Vec<SocketAddr>,
     effects: Vec<Effect>,
 }
 
 impl Detector {
-    /// Membership that knows only itself and the seeds' addresses.
+    /// Starts with only the own entry and the addresses of seed nodes. `seed` initializes the random number
+    /// generator.
     pub fn new(own: Member, seeds: Vec<SocketAddr>, settings: MembershipSettings, seed: u64) -> Self {
         let mut directory = Directory::default();
         directory.insert(own.clone());
@@ -117,49 +118,49 @@
             own,
             generation: Generation::default(),
             directory,
-            random: ChaCha8Rng::seed_from_u64(seed),
-            broadcasts: Broadcasts::default(),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            broadcasts: BroadcastQueue::default(),
             suspects: BTreeMap::new(),
             dead: BTreeMap::new(),
             round: Vec::new(),
             probe: None,
             is_successor_turn: false,
-            next_probe: Timestamp::default(),
-            next_exchange: Timestamp::default(),
-            relays: BTreeMap::new(),
+            next_probe_at: Timestamp::default(),
+            next_exchange_at: Timestamp::default(),
+            relayed_probes: BTreeMap::new(),
             sequence: 0,
             seeds,
             effects: Vec::new(),
         }
     }
 
-    /// All members known.
+    /// Known members, including this node.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// This node's own entry.
+    /// Entry of this node.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Takes the effects that have come together.
+    /// Returns the effects since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Notes the generation in force here, and tells a few nodes at once where it is new.
+    /// Sets the generation in force on this node; if it is newer, announces it to a few nodes immediately.
     pub fn set_generation(&mut self, generation: Generation) {
         if generation <= self.generation {
             return;
         }
         self.generation = generation;
-        for address in self.random_peers(GENERATION_FANOUT, &[]) {
+        for address in self.random_peers(ANNOUNCEMENT_FANOUT, &[]) {
             self.send(address, Packet::NewGeneration);
         }
     }
 
-    /// Announces that this node is being stopped.
+    /// Announces that this node is shutting down.
     pub fn leave(&mut self) {
         if self.own.is_leaving {
             return;
@@ -167,27 +168,27 @@
         self.own.is_leaving = true;
         self.own.refutation += 1;
         self.publish_own();
-        for address in self.random_peers(GENERATION_FANOUT, &[]) {
+        for address in self.random_peers(ANNOUNCEMENT_FANOUT, &[]) {
             let sequence = self.next_sequence();
             self.send(address, Packet::Probe { sequence });
         }
     }
 
-    /// Lets time pass.
+    /// Advances timers: ends probes and suspicions that timed out, and starts due probes and exchanges.
     pub fn tick(&mut self, now: Timestamp) {
         self.advance_probe(now);
-        self.bury_suspects(now);
-        self.forget_dead(now);
-        if now >= self.next_probe {
-            self.next_probe = now + self.settings.probe_interval;
+        self.expire_suspects(now);
+        self.remove_expired_dead(now);
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + self.settings.probe_interval;
             self.start_probe(now);
         }
-        if now >= self.next_exchange {
+        if now >= self.next_exchange_at {
             self.start_exchange(now);
         }
     }
 
-    /// Handles a message.
+    /// Processes a message from another node.
     pub fn receive(&mut self, envelope: Envelope, now: Timestamp) {
         let from = envelope.sender.address;
         let sender = envelope.sender.node;
@@ -198,9 +199,9 @@
             let generation = envelope.generation;
             self.effects.push(Effect::Event(Event::NewerGeneration { peer: sender, generation }));
         }
-        self.learn(envelope.sender, now);
+        self.merge_member(envelope.sender, now);
         for member in envelope.news {
-            self.learn(member, now);
+            self.merge_member(member, now);
         }
         match envelope.packet {
             Packet::Probe { sequence } => self.send(from, Packet::Answer { sequence }),
@@ -214,7 +215,7 @@
             }
             Packet::Members { members, wants_reply } => {
                 for member in members {
-                    self.learn(member, now);
+                    self.merge_member(member, now);
                 }
                 if wants_reply {
                     self.send_members(from, false);
@@ -233,12 +234,12 @@
         let Some(target) = target else { return };
         let Some(address) = self.directory.get(target).map(|member| member.address) else { return };
         let sequence = self.next_sequence();
-        self.probe = Some(ProbeUnderWay {
+        self.probe = Some(PendingProbe {
             target,
             sequence,
             indirect_at: now + self.settings.probe_timeout,
-            is_indirect: false,
-            fails_at: now + self.settings.probe_timeout * PROBE_TIMEOUTS_TO_FAIL,
+            is_indirect_sent: false,
+            suspect_at: now + self.settings.probe_timeout * PROBE_TIMEOUTS_TO_SUSPECT,
         });
         self.send(address, Packet::Probe { sequence });
     }
@@ -248,7 +249,7 @@
             let own = self.own.node;
             self.round =
                 self.directory.live().map(|member| member.node).filter(|node| *node != own).collect();
-            self.round.shuffle(&mut self.random);
+            self.round.shuffle(&mut self.rng);
         }
         while let Some(node) = self.round.pop() {
             let known = self.directory.get(node);
@@ -259,10 +260,10 @@
         None
     }
 
-    /// The live member that follows this node on a ring of hashed node numbers.
+    /// The next live member on a ring of hashed node ids.
     ///
-    /// Random probes alone leave some node unprobed for many periods. Every node is the successor of exactly
-    /// one other, so these probes bound the time until a crash is first noticed.
+    /// Random probes alone leave some nodes unprobed for many periods. Every node is the successor of exactly
+    /// one other, so probing successors bounds the time until a crash is noticed.
     fn successor(&self) -> Option<NodeId> {
         let position = |node: NodeId| (stable_hash(&[&node.0.to_le_bytes()]), node);
         let own = position(self.own.node);
@@ -272,30 +273,30 @@
 
     fn advance_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.probe.as_mut() else { return };
-        if now >= probe.fails_at {
+        if now >= probe.suspect_at {
             let target = probe.target;
             self.probe = None;
             self.suspect(target, now);
             return;
         }
-        if now < probe.indirect_at || probe.is_indirect {
+        if now < probe.indirect_at || probe.is_indirect_sent {
             return;
         }
-        probe.is_indirect = true;
+        probe.is_indirect_sent = true;
         let (target, sequence) = (probe.target, probe.sequence);
         for address in self.random_peers(self.settings.indirect_probes, &[target]) {
             self.send(address, Packet::ProbeRequest { sequence, target });
         }
-        // The direct probe may have been lost; one more costs little and avoids a false suspicion.
+        // Repeats the direct probe, which may have been lost: cheap, and avoids a false suspicion.
         if let Some(address) = self.directory.get(target).map(|member| member.address) {
             self.send(address, Packet::Probe { sequence });
         }
     }
 
     fn receive_answer(&mut self, sequence: u64) {
-        if let Some(relay) = self.relays.remove(&sequence) {
-            let sequence = relay.asker_sequence;
-            self.send(relay.asker, Packet::RelayedAnswer { sequence });
+        if let Some(relayed_probe) = self.relayed_probes.remove(&sequence) {
+            let sequence = relayed_probe.requester_sequence;
+            self.send(relayed_probe.requester, Packet::RelayedAnswer { sequence });
             return;
         }
         self.end_probe(sequence);
@@ -307,13 +308,13 @@
         }
     }
 
-    fn relay_probe(&mut self, asker: SocketAddr, asker_sequence: u64, target: NodeId) {
+    fn relay_probe(&mut self, requester: SocketAddr, requester_sequence: u64, target: NodeId) {
         let Some(address) = self.directory.get(target).map(|member| member.address) else { return };
         let sequence = self.next_sequence();
-        if self.relays.len() >= MAX_RELAYS {
-            self.relays.pop_first();
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
+            self.relayed_probes.pop_first();
         }
-        self.relays.insert(sequence, Relay { asker, asker_sequence });
+        self.relayed_probes.insert(sequence, RelayedProbe { requester, requester_sequence });
         self.send(address, Packet::Probe { sequence });
     }
 
@@ -322,11 +323,11 @@
         if known.state == MemberState::Alive {
             let mut member = known.clone();
             member.state = MemberState::Suspect;
-            self.learn(member, now);
+            self.merge_member(member, now);
         }
     }
 
-    fn bury_suspects(&mut self, now: Timestamp) {
+    fn expire_suspects(&mut self, now: Timestamp) {
         let expired: Vec<NodeId> =
             self.suspects.iter().filter(|(_, until)| now >= **until).map(|(node, _)| *node).collect();
         for node in expired {
@@ -334,15 +335,15 @@
             if let Some(known) = self.directory.get(node) {
                 let mut member = known.clone();
                 member.state = MemberState::Dead;
-                self.learn(member, now);
+                self.merge_member(member, now);
             }
         }
     }
 
-    fn forget_dead(&mut self, now: Timestamp) {
-        let forgotten: Vec<NodeId> =
+    fn remove_expired_dead(&mut self, now: Timestamp) {
+        let expired: Vec<NodeId> =
             self.dead.iter().filter(|(_, until)| now >= **until).map(|(node, _)| *node).collect();
-        for node in forgotten {
+        for node in expired {
             self.dead.remove(&node);
             self.directory.remove(node);
         }
@@ -351,8 +352,8 @@
     fn start_exchange(&mut self, now: Timestamp) {
         let is_alone = self.directory.live().count() == 1;
         let interval = if is_alone { self.settings.probe_interval } else { self.settings.exchange_interval };
-        // A random share keeps nodes that started together from exchanging together.
-        self.next_exchange = now + interval.mul_f64(self.random.random_range(0.75..1.25));
+        // Jitter keeps nodes that started together from exchanging at the same time.
+        self.next_exchange_at = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
         let digest = self.directory.digest();
         for address in self.random_peers(1, &[]) {
             self.send(address, Packet::Exchange { digest });
@@ -360,17 +361,17 @@
         let known: Vec<SocketAddr> = self.directory.live().map(|member| member.address).collect();
         let mut unknown: Vec<SocketAddr> =
             self.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
-        unknown.shuffle(&mut self.random);
+        unknown.shuffle(&mut self.rng);
         let count = if is_alone { unknown.len() } else { 1 };
         for address in unknown.into_iter().take(count) {
             self.send(address, Packet::Exchange { digest });
         }
     }
 
-    /// Takes in one piece of news.
-    fn learn(&mut self, member: Member, now: Timestamp) {
+    /// Merges an update of a member, unless it is outdated.
+    fn merge_member(&mut self, member: Member, now: Timestamp) {
         if member.node == self.own.node {
-            self.learn_about_own(&member);
+            self.merge_own(&member);
             return;
         }
         let known = self.directory.get(member.node).cloned();
@@ -380,19 +381,19 @@
         if known.is_none() && member.state == MemberState::Dead {
             return;
         }
-        self.note_change(known.as_ref(), &member, now);
+        self.record_change(known.as_ref(), &member, now);
         self.broadcasts.add(member.node);
         self.directory.insert(member);
     }
 
-    fn learn_about_own(&mut self, member: &Member) {
+    fn merge_own(&mut self, member: &Member) {
         if member.incarnation > self.own.incarnation {
             self.effects.push(Effect::Event(Event::Replaced));
             return;
         }
-        let is_doubted = member.state != MemberState::Alive;
-        let is_about_this_life = member.incarnation == self.own.incarnation;
-        if !is_about_this_life || !is_doubted || member.refutation < self.own.refutation {
+        let is_suspected = member.state != MemberState::Alive;
+        let is_same_incarnation = member.incarnation == self.own.incarnation;
+        if !is_same_incarnation || !is_suspected || member.refutation < self.own.refutation {
             return;
         }
         self.own.refutation = member.refutation + 1;
@@ -407,44 +408,44 @@
         self.broadcasts.add(self.own.node);
     }
 
-    fn note_change(&mut self, known: Option<&Member>, member: &Member, now: Timestamp) {
+    fn record_change(&mut self, known: Option<&Member>, member: &Member, now: Timestamp) {
         let node = member.node;
         let was_live = known.is_some_and(|known| known.state != MemberState::Dead);
-        let earlier_life = known.filter(|known| known.incarnation != member.incarnation);
-        if let Some(earlier) = earlier_life.filter(|_| was_live) {
+        let replaced_member = known.filter(|known| known.incarnation != member.incarnation);
+        if let Some(earlier) = replaced_member.filter(|_| was_live) {
             let incarnation = earlier.incarnation;
             self.effects.push(Effect::Event(Event::Down { node, incarnation }));
         }
-        let is_new_life = !was_live || earlier_life.is_some();
+        let is_new_incarnation = !was_live || replaced_member.is_some();
         self.suspects.remove(&node);
         match member.state {
             MemberState::Dead => {
                 self.dead.insert(node, now + self.settings.dead_retention);
-                if was_live && earlier_life.is_none() {
+                if was_live && replaced_member.is_none() {
                     let incarnation = member.incarnation;
                     self.effects.push(Effect::Event(Event::Down { node, incarnation }));
                 }
                 return;
             }
             MemberState::Suspect => {
-                self.suspects.insert(node, now + self.suspicion());
+                self.suspects.insert(node, now + self.suspicion_timeout());
                 self.effects.push(Effect::Event(Event::Suspected(member.clone())));
             }
             MemberState::Alive => {}
         }
         self.dead.remove(&node);
-        if is_new_life {
+        if is_new_incarnation {
             self.effects.push(Effect::Event(Event::Up(member.clone())));
         }
-        let was_leaving = !is_new_life && known.is_some_and(|known| known.is_leaving);
+        let was_leaving = !is_new_incarnation && known.is_some_and(|known| known.is_leaving);
         if member.is_leaving && !was_leaving {
             self.effects.push(Effect::Event(Event::Leaving(member.clone())));
         }
     }
 
-    fn suspicion(&self) -> Duration {
-        let fleet = self.directory.live().count() as f64;
-        let factor = (fleet / SUSPICION_BASE_FLEET).max(1.0).log10() + 1.0;
+    fn suspicion_timeout(&self) -> Duration {
+        let fleet_size = self.directory.live().count() as f64;
+        let factor = (fleet_size / SUSPICION_BASE_FLEET_SIZE).max(1.0).log10() + 1.0;
         self.settings.suspicion.mul_f64(factor.min(MAX_SUSPICION_FACTOR))
     }
 
@@ -455,8 +456,8 @@
 
     fn send(&mut self, to: SocketAddr, packet: Packet) {
         let fleet_size = self.directory.iter().count();
-        let told = self.broadcasts.take(self.settings.news_in_message, fleet_size);
-        let news = told.into_iter().filter_map(|node| self.directory.get(node).cloned()).collect();
+        let nodes = self.broadcasts.take(self.settings.news_in_message, fleet_size);
+        let news = nodes.into_iter().filter_map(|node| self.directory.get(node).cloned()).collect();
         let envelope = Envelope { sender: self.own.clone(), generation: self.generation, news, packet };
         self.effects.push(Effect::Send { to, envelope: Box::new(envelope) });
     }
@@ -466,7 +467,7 @@
         let is_candidate = |member: &&Member| member.node != own && !excluded.contains(&member.node);
         let mut peers: Vec<SocketAddr> =
             self.directory.live().filter(is_candidate).map(|member| member.address).collect();
-        peers.shuffle(&mut self.random);
+        peers.shuffle(&mut self.rng);
         peers.truncate(count);
         peers
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
-//! Which nodes are in the fleet, which of them are alive, and which are leaving.
+//! Fleet membership and failure detection: which nodes exist, which are alive, and which are leaving.
 //!
-//! The protocol is SWIM (Das, Gupta and Motivala, 2002) with suspicion and the refinements known as Lifeguard:
-//! a direct probe, indirect probes through others, suspicion before death, refutation, and news carried on the
-//! probes themselves. A node probes one other in each period, so its cost does not grow with the fleet.
+//! The protocol is SWIM (Das, Gupta and Motivala, 2002) with suspicion and the Lifeguard refinements: direct
+//! probes, indirect probes through other nodes, suspicion before death, refutation, and updates piggybacked
+//! on the probes. A node probes one other node per period, so its cost does not grow with the fleet.
 //!
-//! The crate is a state machine: the driver passes in time and messages and carries out [`Effect`]s.
+//! The crate is a state machine: the driver passes in time and messages, and carries out [`Effect`]s.
 
 mod broadcast;
 mod detector;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,77 +1,78 @@
-//! One member as the fleet knows it.
+//! A member of the fleet and the order of its updates.
 
 use std::net::SocketAddr;
 
 use sumacdrift_types::{Incarnation, NodeId, RegionName, ZoneName};
 
-/// Roles of a member, as bits.
+/// Roles of a member, as a bit set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RoleSet(pub u32);
 
 impl RoleSet {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     pub const GATEWAY: RoleSet = RoleSet(1);
-    /// Holds replicas of program shards.
+    /// Hosts replicas of program shards.
     pub const PROGRAMS: RoleSet = RoleSet(2);
-    /// Owns engines.
+    /// Manages engines.
     pub const ENGINES: RoleSet = RoleSet(4);
 
-    /// Both sets together.
+    /// Union of two sets.
     pub fn with(self, other: RoleSet) -> RoleSet {
         RoleSet(self.0 | other.0)
     }
 
-    /// Whether all of `other` is in this set.
+    /// Whether `other` is a subset.
     pub fn contains(self, other: RoleSet) -> bool {
         self.0 & other.0 == other.0
     }
 }
 
-/// Whether a member answers.
+/// Liveness of a member, from best to worst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// Responds to probes.
     Alive,
-    /// It did not answer and has not refuted that yet.
+    /// Did not respond to a probe and has not refuted the suspicion.
     Suspect,
-    /// It is taken for dead.
+    /// Declared dead after its suspicion timed out.
     Dead,
 }
 
-/// One life of one node.
+/// Entry of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The node.
+    /// Identifies the node across restarts.
     pub node: NodeId,
-    /// The life of its process.
+    /// Identifies the process; increases with each restart of the node.
     pub incarnation: Incarnation,
-    /// How often the node refuted its death or changed its own entry.
+    /// Version of the entry within an incarnation. Only the node itself increments it, to refute a suspicion
+    /// or to change its entry.
     pub refutation: u64,
-    /// Whether it answers.
+    /// Liveness as last reported.
     pub state: MemberState,
-    /// Whether it is being stopped and takes no new work.
+    /// Whether the node is shutting down and takes no new work.
     pub is_leaving: bool,
-    /// Where other nodes reach it.
+    /// Address at which other nodes reach this one.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region in which the node runs.
     pub region: RegionName,
-    /// Its zone.
+    /// Availability zone in which the node runs.
     pub zone: ZoneName,
-    /// What it does.
+    /// Roles that the node serves.
     pub roles: RoleSet,
 }
 
 impl Member {
-    /// Whether this news about a node replaces the older `known`.
+    /// Whether this entry replaces `known`.
     ///
-    /// A later life beats an earlier one; within a life the node's own later word beats what others said; and
-    /// at the same word the worse state wins, so that only the node itself can end a suspicion.
+    /// A later incarnation wins. Within an incarnation the higher refutation wins, and at the same refutation
+    /// the worse state, so that only the node itself can end a suspicion.
     pub fn supersedes(&self, known: &Member) -> bool {
         let rank = |member: &Member| (member.incarnation, member.refutation, member.state);
         rank(self) > rank(known)
     }
 
-    /// Whether it may be given work that it need not keep for long.
+    /// Whether the member may be assigned short-lived work: it is alive or suspected, and not leaving.
     pub fn is_usable(&self) -> bool {
         self.state != MemberState::Dead && !self.is_leaving
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -4,56 +4,57 @@
 
 use crate::Member;
 
-/// A message with what every message carries.
+/// A packet with the fields that every message carries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
-    /// The sender's own entry, which makes the sender known and shows its life.
+    /// The sender's own entry, which introduces it and shows its incarnation.
     pub sender: Member,
-    /// The generation of the configuration in force at the sender.
+    /// Configuration generation in force at the sender.
     pub generation: Generation,
-    /// News about other members.
+    /// Piggybacked updates about other members.
     pub news: Vec<Member>,
-    /// The message.
+    /// Content of the message.
     pub packet: Packet,
 }
 
-/// A message of the membership protocol.
+/// Content of a protocol message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Packet {
-    /// Are you there?
+    /// Direct probe.
     Probe {
-        /// Comes back in the answer.
+        /// Echoed in the answer.
         sequence: u64,
     },
-    /// I am here.
+    /// Answer to a probe.
     Answer {
-        /// From the probe.
+        /// Sequence number of the probe.
         sequence: u64,
     },
-    /// Please probe a third node for me.
+    /// Request to probe a third node on behalf of the sender.
     ProbeRequest {
-        /// Comes back in the relayed answer.
+        /// Echoed in the relayed answer.
         sequence: u64,
-        /// Whom to probe.
+        /// Node to probe.
         target: NodeId,
     },
-    /// A third node answered the probe that you asked for.
+    /// The target of a probe request answered.
     RelayedAnswer {
-        /// From the request.
+        /// Sequence number of the request.
         sequence: u64,
     },
-    /// Here is a digest of all that I know; send me what differs.
+    /// Anti-entropy: compares member lists; if the digest differs, the receiver replies with
+    /// [`Packet::Members`].
     Exchange {
-        /// Digest over all members known.
+        /// Digest of the sender's live members, see [`Directory::digest`](crate::Directory::digest).
         digest: u64,
     },
-    /// Here is all that I know.
+    /// Full member list of the sender.
     Members {
-        /// Every member known.
+        /// All known members, including dead ones.
         members: Vec<Member>,
-        /// Whether the receiver shall answer with all that it knows.
+        /// Whether the receiver should reply with its own list.
         wants_reply: bool,
     },
-    /// There is a newer configuration at the sender.
+    /// Announces a new configuration; its generation is in the envelope.
     NewGeneration,
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,23 +1,23 @@
-//! Times and sizes of the membership protocol.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
-/// Times and sizes of one node's membership protocol.
+/// Timing and size limits of the protocol on one node.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipSettings {
-    /// A node probes one other node in each period: a random one and its successor by turns.
+    /// Interval between probes. Targets alternate between the ring successor and a random node.
     pub probe_interval: Duration,
-    /// How long a probe waits before it asks others to probe.
+    /// Time without an answer after which indirect probes are sent.
     pub probe_timeout: Duration,
-    /// Nodes that are asked to probe a node that did not answer.
+    /// Number of nodes asked to probe a target that did not answer.
     pub indirect_probes: usize,
-    /// Shortest time between suspicion and death; grows with the logarithm of the fleet.
+    /// Minimum time from suspicion to death; it grows with the logarithm of the fleet size.
     pub suspicion: Duration,
-    /// News carried on one message at the most.
+    /// Maximum number of piggybacked updates per message.
     pub news_in_message: usize,
-    /// A dead member is remembered this long, so that old news does not revive it.
+    /// Time for which dead members are kept, so that outdated updates do not revive them.
     pub dead_retention: Duration,
-    /// How often whole member lists are compared with a random node.
+    /// Average interval at which member lists are compared with a random node.
     pub exchange_interval: Duration,
 }
 
--- a/crates/membership/tests/detection.rs
+++ b/crates/membership/tests/detection.rs
@@ -1,4 +1,4 @@
-//! Detection of crashes and the absence of false alarms, on a virtual network with loss.
+//! Detection of crashes and absence of false positives on a virtual network with message loss.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
     detectors: BTreeMap<usize, Detector>,
     now: Timestamp,
     loss: f64,
-    random: ChaCha8Rng,
-    /// Deaths that were declared: who, when.
-    down: Vec<(NodeId, Timestamp)>,
+    rng: ChaCha8Rng,
+    /// Nodes that were declared dead, and when.
+    declared_dead: Vec<(NodeId, Timestamp)>,
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -35,8 +35,8 @@
         state: MemberState::Alive,
         is_leaving: false,
         address: address(number),
-        region: RegionName::new("region").expect("a name"),
-        zone: ZoneName::new(&format!("zone-{}", number % 3)).expect("a name"),
+        region: RegionName::new("region").expect("valid name"),
+        zone: ZoneName::new(&format!("zone-{}", number % 3)).expect("valid name"),
         roles: RoleSet::PROGRAMS,
     }
 }
@@ -49,31 +49,32 @@
 impl Fleet {
     fn new(loss: f64) -> Self {
         let detectors = (0..NODES).map(|number| (number, detector(number, 1))).collect();
-        let random = ChaCha8Rng::seed_from_u64(7);
-        let mut fleet = Self { detectors, now: Timestamp(1_000_000), loss: 0.0, random, down: Vec::new() };
+        let rng = ChaCha8Rng::seed_from_u64(7);
+        let mut fleet =
+            Self { detectors, now: Timestamp(1_000_000), loss: 0.0, rng, declared_dead: Vec::new() };
         fleet.run(Duration::from_secs(40));
         fleet.loss = loss;
-        fleet.down.clear();
+        fleet.declared_dead.clear();
         fleet
     }
 
-    fn run(&mut self, length: Duration) {
-        let end = self.now + length;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = self.now + STEP;
             let mut pending: Vec<(SocketAddr, Envelope)> = Vec::new();
             for detector in self.detectors.values_mut() {
                 detector.tick(self.now);
-                collect(detector, self.now, &mut pending, &mut self.down);
+                collect(detector, self.now, &mut pending, &mut self.declared_dead);
             }
             while let Some((to, envelope)) = pending.pop() {
-                if self.random.random_bool(self.loss) {
+                if self.rng.random_bool(self.loss) {
                     continue;
                 }
                 let number = usize::from(to.port()) - 7000;
                 if let Some(detector) = self.detectors.get_mut(&number) {
                     detector.receive(envelope, self.now);
-                    collect(detector, self.now, &mut pending, &mut self.down);
+                    collect(detector, self.now, &mut pending, &mut self.declared_dead);
                 }
             }
         }
@@ -84,19 +85,19 @@
     detector: &mut Detector,
     now: Timestamp,
     pending: &mut Vec<(SocketAddr, Envelope)>,
-    down: &mut Vec<(NodeId, Timestamp)>,
+    declared_dead: &mut Vec<(NodeId, Timestamp)>,
 ) {
     for effect in detector.take_effects() {
         match effect {
             Effect::Send { to, envelope } => pending.push((to, *envelope)),
-            Effect::Event(Event::Down { node, .. }) => down.push((node, now)),
+            Effect::Event(Event::Down { node, .. }) => declared_dead.push((node, now)),
             Effect::Event(_) => {}
         }
     }
 }
 
 #[test]
-fn everybody_comes_to_know_everybody() {
+fn all_nodes_discover_each_other() {
     let fleet = Fleet::new(0.0);
     for detector in fleet.detectors.values() {
         assert_eq!(detector.directory().live().count(), NODES);
@@ -104,43 +105,43 @@
 }
 
 #[test]
-fn a_crash_is_known_everywhere_in_time() {
+fn crash_is_detected_by_all_nodes_within_five_seconds() {
     let mut fleet = Fleet::new(0.01);
     let crashed_at = fleet.now;
     fleet.detectors.remove(&17);
     fleet.run(Duration::from_secs(10));
-    let latest = fleet.down.iter().map(|(_, at)| *at).max().expect("the crash was noticed");
-    assert!(fleet.down.iter().all(|(node, _)| *node == NodeId(17)), "{:?}", fleet.down);
-    assert_eq!(fleet.down.len(), NODES - 1);
+    let latest = fleet.declared_dead.iter().map(|(_, at)| *at).max().expect("crash was detected");
+    assert!(fleet.declared_dead.iter().all(|(node, _)| *node == NodeId(17)), "{:?}", fleet.declared_dead);
+    assert_eq!(fleet.declared_dead.len(), NODES - 1);
     assert!(latest.since(crashed_at) < Duration::from_secs(5), "{:?}", latest.since(crashed_at));
 }
 
 #[test]
-fn loss_of_messages_causes_no_false_alarm() {
+fn message_loss_causes_no_false_positive() {
     let mut fleet = Fleet::new(0.01);
     fleet.run(Duration::from_secs(1200));
-    assert!(fleet.down.is_empty(), "{:?}", fleet.down);
+    assert!(fleet.declared_dead.is_empty(), "{:?}", fleet.declared_dead);
 }
 
 #[test]
-fn a_restarted_node_replaces_its_earlier_life() {
+fn restarted_node_replaces_its_earlier_incarnation() {
     let mut fleet = Fleet::new(0.0);
     fleet.detectors.insert(17, detector(17, 2));
     fleet.run(Duration::from_secs(5));
     for detector in fleet.detectors.values() {
-        let known = detector.directory().get(NodeId(17)).expect("the node");
+        let known = detector.directory().get(NodeId(17)).expect("node 17 is known");
         assert_eq!(known.incarnation, Incarnation(2));
         assert_eq!(known.state, MemberState::Alive);
     }
 }
 
 #[test]
-fn a_planned_stop_is_known_before_the_node_is_gone() {
+fn leave_is_known_to_all_nodes_within_two_seconds() {
     let mut fleet = Fleet::new(0.0);
-    fleet.detectors.get_mut(&17).expect("a node").leave();
+    fleet.detectors.get_mut(&17).expect("node 17 runs").leave();
     fleet.run(Duration::from_secs(2));
     for (number, detector) in &fleet.detectors {
-        let known = detector.directory().get(NodeId(17)).expect("the node");
-        assert!(known.is_leaving, "node {number} does not know");
+        let known = detector.directory().get(NodeId(17)).expect("node 17 is known");
+        assert!(known.is_leaving, "node {number} does not know of the shutdown");
     }
 }
