--- a/crates/access/src/knowledge.rs
+++ b/crates/access/src/knowledge.rs
@@ -17,7 +17,8 @@
 pub struct KnowledgeLimits {
     /// Age above which a known key is rejected; `None` if withdrawn keys may keep working.
     pub known_key: Option<Duration>,
-    /// Age above which a missing key may have been added since, so that it is not reported as unknown.
+    /// Age above which a key that is not in the table may have been added since, so that it is not reported
+    /// as unknown.
     pub unknown_key: Duration,
 }
 
--- a/crates/access/src/program_admission.rs
+++ b/crates/access/src/program_admission.rs
@@ -11,7 +11,7 @@
 /// Share of the limit above which new programs are admitted only as far as whole ones fit; the rest of the
 /// window is kept for those that have started.
 const CONGESTED_SHARE: f64 = 0.7;
-/// Number of windows for which a tenant counts as congested after a call over its limit, whatever it uses.
+/// Windows for which a tenant counts as congested after a call over its limit, regardless of its usage.
 const CONGESTED_WINDOWS: u32 = 2;
 /// Time without a call after which a program is forgotten; longer than the pauses and the slowest tools of
 /// programs.
--- a/crates/access/src/quota_counters.rs
+++ b/crates/access/src/quota_counters.rs
@@ -24,8 +24,8 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Share of a window's limit, and number of calls, that a node admits before a majority has acknowledged
 /// them. If the node is lost, its successor may miss that many. Twice that, for two losses within a window,
-/// is half of what a window may hold beyond its limit (10% and 20 calls). A report is due at once when half
-/// of it is used.
+/// is half of the excess that a window may hold (10% and 20 calls). A report is due at once when half of it
+/// is used.
 const UNACKNOWLEDGED_SHARE: f64 = 0.025;
 const UNACKNOWLEDGED_CALLS: f64 = 3.0;
 /// Retry delay of a call that was refused only because earlier calls are not yet acknowledged.
@@ -146,12 +146,12 @@
         }
         let unacknowledged = acknowledged.map_or(0, |acknowledged| count.unacknowledged(acknowledged));
         let max_unacknowledged = max_unacknowledged(max_calls);
-        let is_unacknowledged_bounded =
+        let is_within_unacknowledged_limit =
             unacknowledged < max_unacknowledged || is_broken(Rule::QuotaUnacknowledgedIsBounded);
-        let starts_program = is_unacknowledged_bounded && count.admit(call.program, now);
+        let starts_program = is_within_unacknowledged_limit && count.admit(call.program, now);
         let is_uncongested = count.is_uncongested(now);
         self.is_report_due |= unacknowledged * 2 >= max_unacknowledged;
-        if !is_unacknowledged_bounded {
+        if !is_within_unacknowledged_limit {
             return QuotaVerdict::Exceeded { retry_after: UNACKNOWLEDGED_RETRY_AFTER, counted };
         }
         if call.program.is_some() && is_uncongested {
--- a/crates/access/src/quota_window.rs
+++ b/crates/access/src/quota_window.rs
@@ -5,8 +5,8 @@
 
 use sumacdrift_types::Timestamp;
 
-/// Time slots per window. Calls expire up to one slot late, which refuses at most 1/200 of the limit too
-/// much.
+/// Time slots per window. Calls expire up to one slot late, so at most 1/200 of the limit is refused too
+/// early.
 const SLOTS_PER_WINDOW: u32 = 200;
 
 /// Limit on a tenant's calls over any sliding window.
--- a/crates/fleet-view/src/message.rs
+++ b/crates/fleet-view/src/message.rs
@@ -1,4 +1,4 @@
-//! Protocol-buffer messages between edges, and the replicas that distribute their news. Unknown fields are
+//! Protocol-buffer messages between edges and the replicas that distribute their news. Unknown fields are
 //! ignored.
 
 /// Report of an edge or board, and what it asks for in return.
