--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -1,7 +1,6 @@
-//! Outgoing HTTP: pooled connections and errors that tell whether a request can have been received.
+//! HTTP client with a connection pool, whose errors tell whether the request can have been received.
 //!
-//! The difference matters more here than in most clients: "not run" may be said only of a request of which no
-//! byte was sent.
+//! The distinction matters because "not run" may be claimed only for a request of which no byte was sent.
 
 use std::time::Duration;
 
@@ -13,34 +12,32 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an unused connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a connection may be silent before the peer is probed, and the time between probes.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection counts as broken.
-const PROBES: u32 = 3;
+/// Idle time before the first TCP keep-alive probe, and the time between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered probes after which a connection counts as broken.
+const KEEPALIVE_RETRIES: u32 = 3;
 
-/// An outgoing request failed.
+/// Why a request failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// No connection could be opened; nothing was sent.
-    #[error("no connection to the back end: {0}")]
+    #[error("could not connect to the back end: {0}")]
     NotSent(String),
     /// The connection broke after something may have been sent.
-    #[error("the connection to the back end broke: {0}")]
+    #[error("connection to the back end failed: {0}")]
     Broken(String),
-    /// Nothing came in time.
-    #[error("the back end did not answer in time")]
+    /// No response arrived in time; the request may have been received.
+    #[error("back end did not respond in time")]
     TimedOut,
-    /// The answer is larger than allowed.
-    #[error("the answer is larger than {0} bytes")]
+    /// The response exceeds the given number of bytes.
+    #[error("response exceeds {0} bytes")]
     TooLarge(usize),
 }
 
-/// A client with a pool of connections.
+/// An HTTP client with a connection pool; clones share the pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -53,26 +50,26 @@
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client; connections are opened on demand.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A peer that lost its power says nothing; probes notice it while an answer is waited for.
-        connector.set_keepalive(Some(PROBE_AFTER));
-        connector.set_keepalive_interval(Some(PROBE_AFTER));
-        connector.set_keepalive_retries(Some(PROBES));
+        // Keep-alive probes detect a peer that lost power while its response is awaited.
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            // A pooled connection that closed meanwhile would be retried without a word; the caller decides
-            // about retries here.
+            // Without this, requests on a pooled connection that has closed would be retried silently; the caller
+            // decides about retries.
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head, at most for `timeout`.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -86,7 +83,7 @@
         }
     }
 
-    /// Sends a request and gathers the whole answer.
+    /// Sends a request and reads the whole response, within `timeout` in total.
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
@@ -102,7 +99,7 @@
     }
 }
 
-/// The next piece of an answer's body; `None` at its regular end.
+/// The next chunk of a body; `None` at its regular end.
 pub async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, HttpError> {
     loop {
         match body.frame().await {
@@ -117,24 +114,24 @@
     }
 }
 
-/// A whole body of at most `max_bytes`. One that comes in a single piece is not copied.
+/// Reads a whole body of at most `max_bytes`. A body that arrives in one chunk is not copied.
 pub async fn gather(mut body: Incoming, max_bytes: usize) -> Result<Bytes, HttpError> {
-    let mut first = Bytes::new();
-    let mut gathered = BytesMut::new();
-    while let Some(piece) = next_piece(&mut body).await? {
-        if first.len().max(gathered.len()) + piece.len() > max_bytes {
+    let mut first_chunk = Bytes::new();
+    let mut buffer = BytesMut::new();
+    while let Some(chunk) = next_piece(&mut body).await? {
+        if first_chunk.len().max(buffer.len()) + chunk.len() > max_bytes {
             return Err(HttpError::TooLarge(max_bytes));
         }
-        if first.is_empty() {
-            first = piece;
+        if first_chunk.is_empty() {
+            first_chunk = chunk;
             continue;
         }
-        if gathered.is_empty() {
-            gathered.extend_from_slice(&first);
+        if buffer.is_empty() {
+            buffer.extend_from_slice(&first_chunk);
         }
-        gathered.extend_from_slice(&piece);
+        buffer.extend_from_slice(&chunk);
     }
-    Ok(if gathered.is_empty() { first } else { gathered.freeze() })
+    Ok(if buffer.is_empty() { first_chunk } else { buffer.freeze() })
 }
 
 fn describe(error: &hyper_util::client::legacy::Error) -> String {
