--- a/crates/engine-client/src/answer.rs
+++ b/crates/engine-client/src/answer.rs
@@ -1,9 +1,9 @@
-//! Putting an answer together from the pieces of its stream.
+//! Assembling a message from the deltas of its stream.
 
 use serde_json::{Map, Value, json};
 use sumacdrift_types::ChatMessage;
 
-/// An assistant's message that is still growing.
+/// Builds an assistant message from streamed deltas.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerBuilder {
     content: String,
@@ -12,48 +12,48 @@
 }
 
 impl AnswerBuilder {
-    /// Adds text.
+    /// Appends text to the content.
     pub fn push_text(&mut self, text: &str) {
         self.content.push_str(text);
     }
 
-    /// Adds pieces of tool calls; arguments of one call come in several pieces.
-    pub fn push_tool_calls(&mut self, pieces: &[Value]) {
-        for piece in pieces {
-            let position = piece.get("index").and_then(Value::as_u64).unwrap_or(0) as usize;
-            while self.tool_calls.len() <= position {
+    /// Merges deltas of tool calls. The arguments of one call arrive in several deltas.
+    pub fn push_tool_calls(&mut self, deltas: &[Value]) {
+        for delta in deltas {
+            let index = delta.get("index").and_then(Value::as_u64).unwrap_or(0) as usize;
+            while self.tool_calls.len() <= index {
                 self.tool_calls.push(json!({"type": "function", "function": {"name": "", "arguments": ""}}));
             }
-            merge_tool_call(&mut self.tool_calls[position], piece);
+            merge_tool_call(&mut self.tool_calls[index], delta);
         }
     }
 
-    /// Sets the engine's reason for stopping.
+    /// Sets the finish reason that the engine reported.
     pub fn finish(&mut self, reason: &str) {
         self.finish_reason = Some(reason.to_owned());
     }
 
-    /// The text so far.
+    /// The content received so far.
     pub fn text(&self) -> &str {
         &self.content
     }
 
-    /// Whether the answer can be continued elsewhere: text can, half a tool call can't.
+    /// Whether another engine can continue the message. It can continue text, but not a partial tool call.
     pub fn is_resumable(&self) -> bool {
         self.tool_calls.is_empty()
     }
 
-    /// Whether nothing has come yet.
+    /// Whether neither text nor tool calls have been received.
     pub fn is_empty(&self) -> bool {
         self.content.is_empty() && self.tool_calls.is_empty()
     }
 
-    /// The engine's reason for stopping, if it has stopped.
+    /// The engine's finish reason; `None` while the message is incomplete.
     pub fn finish_reason(&self) -> Option<&str> {
         self.finish_reason.as_deref()
     }
 
-    /// The whole message.
+    /// The assembled message.
     pub fn message(&self) -> ChatMessage {
         if self.tool_calls.is_empty() {
             return ChatMessage::assistant(&self.content);
@@ -69,12 +69,12 @@
     }
 }
 
-fn merge_tool_call(call: &mut Value, piece: &Value) {
-    if let Some(id) = piece.get("id").filter(|id| id.is_string()) {
+fn merge_tool_call(call: &mut Value, delta: &Value) {
+    if let Some(id) = delta.get("id").filter(|id| id.is_string()) {
         call["id"] = id.clone();
     }
     for field in ["name", "arguments"] {
-        let added = piece.pointer(&format!("/function/{field}")).and_then(Value::as_str);
+        let added = delta.pointer(&format!("/function/{field}")).and_then(Value::as_str);
         if let Some(added) = added {
             let present = call["function"][field].as_str().unwrap_or_default();
             call["function"][field] = Value::String(format!("{present}{added}"));
--- a/crates/engine-client/src/client.rs
+++ b/crates/engine-client/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling an engine.
+//! The client for engines' HTTP API.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -17,42 +17,42 @@
 use crate::EngineRequest;
 use crate::sse::EventSplitter;
 
-/// The last event of a stream.
-const END_MARK: &[u8] = b"[DONE]";
-/// Time for freeing a program's memory.
-const FREE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest list of programs that is read.
+/// Data of the last event of a stream.
+const DONE_MARKER: &[u8] = b"[DONE]";
+/// Timeout for requests other than completions, and for reading an error body.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest program list that is accepted.
 const MAX_LIST_BYTES: usize = 8 << 20;
-/// Largest part of a refusal's body that is kept for the explanation.
-const MAX_REFUSAL_BYTES: usize = 4096;
+/// Bytes of an error body that are kept.
+const MAX_ERROR_BODY_BYTES: usize = 4096;
 
-/// A call to an engine failed.
+/// Why a call to an engine failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// No connection could be opened; the engine has seen nothing of the request.
-    #[error("the engine can't be reached: {0}")]
+    /// No connection could be opened; the engine has received nothing.
+    #[error("could not reach the engine: {0}")]
     Unreachable(String),
-    /// The engine answered with an error status.
-    #[error("the engine refused the request with status {status}")]
+    /// The engine responded with an error status.
+    #[error("engine rejected the request with status {status}")]
     Refused {
         /// HTTP status.
         status: u16,
         /// The beginning of the body.
         body: String,
     },
-    /// The stream broke before its end.
-    #[error("the engine's stream broke: {0}")]
+    /// The connection failed, or the stream ended before its last event.
+    #[error("engine's stream was interrupted: {0}")]
     Cut(String),
-    /// The engine sent something that is not the protocol.
-    #[error("the engine sent something that is not the protocol")]
+    /// The response violates the protocol, or is too large.
+    #[error("engine sent an invalid response")]
     Garbage,
-    /// The engine went silent.
-    #[error("the engine went silent")]
+    /// The engine sent nothing within the stall timeout.
+    #[error("engine did not respond in time")]
     Stalled,
 }
 
 impl EngineError {
-    /// Whether the fault is the engine's, so that its circuit breaker must count it.
+    /// Whether the engine is at fault, so that its circuit breaker must count the error.
     pub fn is_engine_fault(&self) -> bool {
         match self {
             EngineError::Refused { status, .. } => *status >= 500 || *status == 429,
@@ -61,37 +61,37 @@
     }
 }
 
-/// One piece of an engine's answer.
+/// One item of an engine's streamed response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StreamItem {
-    /// A piece of the assistant's message.
+    /// A delta of the assistant message.
     Delta {
         /// The `delta` member as the engine wrote it.
         raw: String,
-        /// Its text.
+        /// Content text; may be empty.
         text: String,
-        /// Its pieces of tool calls.
+        /// Deltas of tool calls; may be empty.
         tool_calls: Vec<Value>,
     },
-    /// The engine's reason for stopping.
+    /// The finish reason.
     Finished(String),
-    /// Tokens used.
+    /// Token counts of the request.
     Usage(Usage),
 }
 
-/// Calls engines.
+/// A client for engines.
 #[derive(Debug, Clone, Default)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
 impl EngineClient {
-    /// A client without connections.
+    /// Creates a client on top of an HTTP client.
     pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
-    /// Sends a request and waits for the stream to begin.
+    /// Starts a completion and waits for the response head. Each wait for the stream is limited to `stall_timeout`.
     pub async fn start(
         &self,
         address: SocketAddr,
@@ -105,27 +105,29 @@
             .header("x-request-id", request.call.to_string())
             .body(Full::new(Bytes::from(request.to_json())))
             .map_err(|error| EngineError::Unreachable(error.to_string()))?;
-        let response = self.http.send(request, stall_timeout).await.map_err(from_http)?;
+        let response = self.http.send(request, stall_timeout).await.map_err(engine_error)?;
         let status = response.status();
         let mut body = response.into_body();
         if !status.is_success() {
-            let text = refusal_text(&mut body).await;
+            let text = read_error_body(&mut body).await;
             return Err(EngineError::Refused { status: status.as_u16(), body: text });
         }
-        Ok(EngineStream { body, events: EventSplitter::default(), stall_timeout, is_ended: false })
+        Ok(EngineStream { body, events: EventSplitter::default(), stall_timeout, has_ended: false })
     }
 
-    /// Programs for which an engine holds memory.
+    /// Lists the programs for which an engine holds memory.
     pub async fn list_programs(&self, address: SocketAddr) -> Result<Vec<ProgramId>, EngineError> {
         let request = Request::get(format!("http://{address}/cache/programs"))
             .body(Full::default())
             .map_err(|error| EngineError::Unreachable(error.to_string()))?;
-        let response = self.http.fetch(request, FREE_TIMEOUT, MAX_LIST_BYTES).await.map_err(from_http)?;
+        let response =
+            self.http.fetch(request, CONTROL_TIMEOUT, MAX_LIST_BYTES).await.map_err(engine_error)?;
         let list: ProgramList = serde_json::from_slice(response.body()).map_err(|_| EngineError::Garbage)?;
         Ok(list.programs)
     }
 
-    /// Tells an engine that a program has ended, so that it drops what it holds for it.
+    /// Frees what an engine holds for a program that has ended. A program that the engine does not know counts as
+    /// freed.
     pub async fn free_program(&self, address: SocketAddr, program: &ProgramId) -> Result<(), EngineError> {
         let uri = format!("http://{address}/cache/programs/{program}");
         let request = Request::builder()
@@ -133,7 +135,8 @@
             .uri(uri)
             .body(Full::default())
             .map_err(|error| EngineError::Unreachable(error.to_string()))?;
-        let response = self.http.fetch(request, FREE_TIMEOUT, MAX_REFUSAL_BYTES).await.map_err(from_http)?;
+        let response =
+            self.http.fetch(request, CONTROL_TIMEOUT, MAX_ERROR_BODY_BYTES).await.map_err(engine_error)?;
         match response.status().as_u16() {
             200..300 | 404 => Ok(()),
             status => Err(EngineError::Refused { status, body: String::new() }),
@@ -146,14 +149,14 @@
     programs: Vec<ProgramId>,
 }
 
-async fn refusal_text(body: &mut Incoming) -> String {
-    let piece = tokio::time::timeout(FREE_TIMEOUT, next_piece(body)).await;
-    let Ok(Ok(Some(piece))) = piece else { return String::new() };
-    let end = piece.len().min(MAX_REFUSAL_BYTES);
-    String::from_utf8_lossy(&piece[..end]).into_owned()
+async fn read_error_body(body: &mut Incoming) -> String {
+    let chunk = tokio::time::timeout(CONTROL_TIMEOUT, next_piece(body)).await;
+    let Ok(Ok(Some(chunk))) = chunk else { return String::new() };
+    let end = chunk.len().min(MAX_ERROR_BODY_BYTES);
+    String::from_utf8_lossy(&chunk[..end]).into_owned()
 }
 
-fn from_http(error: HttpError) -> EngineError {
+fn engine_error(error: HttpError) -> EngineError {
     match error {
         HttpError::NotSent(reason) => EngineError::Unreachable(reason),
         HttpError::TimedOut => EngineError::Stalled,
@@ -162,13 +165,13 @@
     }
 }
 
-/// An engine's answer as it comes. Dropping it cancels the work on the engine.
+/// A streamed response. Dropping it closes the connection, which cancels the work on the engine.
 #[derive(Debug)]
 pub struct EngineStream {
     body: Incoming,
     events: EventSplitter,
     stall_timeout: Duration,
-    is_ended: bool,
+    has_ended: bool,
 }
 
 #[derive(Debug, Deserialize)]
@@ -210,29 +213,29 @@
 }
 
 impl EngineStream {
-    /// Waits for more of the answer. Everything that has arrived comes at once, so that it can be passed on
-    /// at once. An empty list is the regular end.
+    /// Waits for the next items. All that have arrived are returned together; an empty list is the regular end of
+    /// the stream.
     pub async fn next_items(&mut self) -> Result<Vec<StreamItem>, EngineError> {
         let mut items = Vec::new();
-        while items.is_empty() && !self.is_ended {
-            let piece = tokio::time::timeout(self.stall_timeout, next_piece(&mut self.body)).await;
-            match piece.map_err(|_| EngineError::Stalled)?.map_err(from_http)? {
-                Some(piece) => self.events.push(&piece).map_err(|_| EngineError::Garbage)?,
-                None => return Err(EngineError::Cut("the stream ended without its end mark".to_owned())),
+        while items.is_empty() && !self.has_ended {
+            let chunk = tokio::time::timeout(self.stall_timeout, next_piece(&mut self.body)).await;
+            match chunk.map_err(|_| EngineError::Stalled)?.map_err(engine_error)? {
+                Some(chunk) => self.events.push(&chunk).map_err(|_| EngineError::Garbage)?,
+                None => return Err(EngineError::Cut("the stream ended without [DONE]".to_owned())),
             }
             while let Some(data) = self.events.next_data() {
-                if data.as_ref() == END_MARK {
-                    self.is_ended = true;
+                if data.as_ref() == DONE_MARKER {
+                    self.has_ended = true;
                     break;
                 }
-                read_chunk(&data, &mut items)?;
+                parse_chunk(&data, &mut items)?;
             }
         }
         Ok(items)
     }
 }
 
-fn read_chunk(data: &[u8], items: &mut Vec<StreamItem>) -> Result<(), EngineError> {
+fn parse_chunk(data: &[u8], items: &mut Vec<StreamItem>) -> Result<(), EngineError> {
     let chunk: Chunk<'_> = serde_json::from_slice(data).map_err(|_| EngineError::Garbage)?;
     for choice in chunk.choices {
         let raw = choice.delta.get();
--- a/crates/engine-client/src/lib.rs
+++ b/crates/engine-client/src/lib.rs
@@ -1,7 +1,7 @@
-//! Model engines as the system calls them: OpenAI chat completions over HTTP, always streamed.
+//! Client for model engines: OpenAI chat completions over HTTP, always streamed.
 //!
-//! An engine is always asked to stream, whatever the caller asked for: a stream shows progress, so a hung engine
-//! is told from a slow one, and a cut answer can be continued elsewhere from where it broke.
+//! Requests are streamed whatever the caller asked for: a stream shows progress, so that a hung engine can be told
+//! from a slow one, and an interrupted response can be continued on another engine.
 
 mod answer;
 mod client;
--- a/crates/engine-client/src/sse.rs
+++ b/crates/engine-client/src/sse.rs
@@ -1,11 +1,11 @@
-//! Server-sent events from a byte stream.
+//! Parser for server-sent events.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// An event larger than this is not the protocol.
+/// Larger events are rejected.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// The stream is not made of server-sent events of bearable size.
+/// An event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EventTooLarge;
 
@@ -16,15 +16,15 @@
 }
 
 impl EventSplitter {
-    pub(crate) fn push(&mut self, piece: &[u8]) -> Result<(), EventTooLarge> {
-        if self.buffer.len() + piece.len() > MAX_EVENT_BYTES {
+    pub(crate) fn push(&mut self, chunk: &[u8]) -> Result<(), EventTooLarge> {
+        if self.buffer.len() + chunk.len() > MAX_EVENT_BYTES {
             return Err(EventTooLarge);
         }
-        self.buffer.extend_from_slice(piece);
+        self.buffer.extend_from_slice(chunk);
         Ok(())
     }
 
-    /// The data of the next complete event. Comments and other fields are passed over.
+    /// The data of the next complete event. Comments and other fields are skipped.
     pub(crate) fn next_data(&mut self) -> Option<Bytes> {
         loop {
             let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
