--- a/crates/telemetry/src/drain.rs
+++ b/crates/telemetry/src/drain.rs
@@ -1,4 +1,4 @@
-//! The drain that formats lines and the thread that writes them.
+//! The log drain, which formats lines, and the thread that writes them.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -7,21 +7,21 @@
 
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, b, o, record};
 
-use crate::allowance::LineAllowance;
+use crate::rate_limit::LogRateLimit;
 
-/// Lines that may wait to be written.
-const QUEUE_LINES: usize = 4096;
-/// How long lines are gathered before they are written together.
-const GATHER_TIME: Duration = Duration::from_millis(100);
+/// Capacity of the queue of formatted lines.
+const QUEUE_CAPACITY: usize = 4096;
+/// How long lines are batched before they are written.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Settings of the log.
+/// Log settings.
 #[derive(Debug, Clone, Copy)]
 pub struct LogSettings {
-    /// The least important level that is written.
+    /// The least severe level that is written.
     pub level: Level,
-    /// Lines a second in the long run.
+    /// Sustained rate limit, in lines per second.
     pub lines_per_second: f64,
-    /// Lines at once.
+    /// Burst size of the rate limit, in lines.
     pub burst: f64,
 }
 
@@ -31,34 +31,34 @@
     }
 }
 
-/// A logger that writes JSON lines to standard output.
+/// Creates a logger that writes JSON lines to standard output.
 pub fn json_logger(settings: LogSettings) -> Logger {
-    let (lines, queue) = sync_channel(QUEUE_LINES);
+    let (lines, queue) = sync_channel(QUEUE_CAPACITY);
     std::thread::spawn(move || write_lines(&queue));
-    let allowance = Mutex::new(LineAllowance::new(settings.lines_per_second, settings.burst));
-    let drain = BoundedJson { lines, allowance, started: Instant::now() };
+    let rate_limit = Mutex::new(LogRateLimit::new(settings.lines_per_second, settings.burst));
+    let drain = RateLimitedJson { lines, rate_limit, started: Instant::now() };
     Logger::root(drain.filter_level(settings.level).fuse(), o!())
 }
 
-struct BoundedJson {
+struct RateLimitedJson {
     lines: SyncSender<Vec<u8>>,
-    allowance: Mutex<LineAllowance>,
+    rate_limit: Mutex<LogRateLimit>,
     started: Instant,
 }
 
-impl Drain for BoundedJson {
+impl Drain for RateLimitedJson {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
         let now = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let mut allowance = self.allowance.lock().unwrap_or_else(PoisonError::into_inner);
-        // What matters most is written whatever the rate.
-        let is_important = record.level().is_at_least(Level::Warning);
-        if !allowance.take(now) && !is_important {
+        let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
+        // Warnings and errors are exempt from the rate limit.
+        let is_exempt = record.level().is_at_least(Level::Warning);
+        if !rate_limit.take(now) && !is_exempt {
             return Ok(());
         }
-        let dropped = allowance.take_dropped();
+        let dropped = rate_limit.take_dropped();
         let mut line = Vec::with_capacity(256);
         if dropped > 0 {
             let details = b!("event" => "log_lines_dropped", "lines" => dropped);
@@ -70,7 +70,7 @@
         }
         format_line(&mut line, record, values);
         if self.lines.try_send(line).is_err() {
-            allowance.lost();
+            rate_limit.record_dropped();
         }
         Ok(())
     }
@@ -78,17 +78,17 @@
 
 fn format_line(line: &mut Vec<u8>, record: &Record<'_>, values: &OwnedKVList) {
     let json = slog_json::Json::new(line).add_default_keys().set_newlines(true).build();
-    // Writing to memory does not fail; a value that can't be formatted leaves its line out.
+    // Writing to memory can't fail; a line with a value that can't be formatted is lost.
     let _ = json.log(record, values);
 }
 
 fn write_lines(queue: &Receiver<Vec<u8>>) {
-    while let Ok(mut gathered) = queue.recv() {
-        std::thread::sleep(GATHER_TIME);
+    while let Ok(mut batch) = queue.recv() {
+        std::thread::sleep(BATCH_INTERVAL);
         while let Ok(line) = queue.try_recv() {
-            gathered.extend_from_slice(&line);
+            batch.extend_from_slice(&line);
         }
         let mut output = std::io::stdout().lock();
-        let _ = output.write_all(&gathered).and_then(|()| output.flush());
+        let _ = output.write_all(&batch).and_then(|()| output.flush());
     }
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,12 +1,12 @@
-//! What a process tells about itself: logs as JSON lines that never hold a caller up, and metrics over HTTP.
+//! Logging as JSON lines that never blocks the caller, and metrics over HTTP.
 //!
-//! Lines are formatted where they arise and handed to a thread that writes them, a few times a second. Their rate is
-//! bounded, and so is what waits to be written; lines beyond either bound are counted, and the count is logged.
+//! Lines are formatted on the calling thread and written in batches by a background thread. Both their rate and the
+//! number of queued lines are bounded; dropped lines are counted, and the count is logged.
 
-mod allowance;
 mod drain;
 mod metrics;
+mod rate_limit;
 
-pub use allowance::LineAllowance;
 pub use drain::{LogSettings, json_logger};
 pub use metrics::{serve_metrics, time_histogram};
+pub use rate_limit::LogRateLimit;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -9,27 +9,26 @@
 use prometheus_client::registry::Registry;
 use tokio::net::TcpListener;
 
-/// Smallest bucket of the time histograms, in seconds.
+/// Upper bound of the smallest bucket, in seconds.
 const SMALLEST_BUCKET: f64 = 0.001;
-/// Ratio of neighbouring buckets.
+/// Ratio of the bounds of neighbouring buckets.
 const BUCKET_RATIO: f64 = 2.0;
-/// Number of buckets; the largest is about 16 seconds.
+/// Number of buckets; the largest bound is about 16 seconds.
 const BUCKETS: u16 = 15;
-/// Path of the metrics.
 const PATH: &str = "/metrics";
 
-/// A histogram of times in seconds.
+/// A histogram of durations in seconds, with buckets from 1 ms to about 16 s.
 pub fn time_histogram() -> Histogram {
     Histogram::new(exponential_buckets(SMALLEST_BUCKET, BUCKET_RATIO, BUCKETS))
 }
 
-/// Serves a registry for as long as the process runs.
+/// Serves a registry at `/metrics` until the process ends.
 pub async fn serve_metrics(listener: TcpListener, registry: Arc<Registry>) -> std::io::Result<()> {
-    let answer = move || {
+    let respond = move || {
         let mut text = String::new();
-        // Writing to memory does not fail.
+        // Writing to memory can't fail.
         let _ = encode(&mut text, &registry);
         std::future::ready(text)
     };
-    axum::serve(listener, Router::new().route(PATH, get(answer))).await
+    axum::serve(listener, Router::new().route(PATH, get(respond))).await
 }
