--- a/crates/edge/src/engine_pool.rs
+++ b/crates/edge/src/engine_pool.rs
@@ -13,7 +13,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use sumacdrift_calls::EngineId;
-use sumacdrift_transport::tune;
+use sumacdrift_transport::configure_stream;
 use sumacdrift_types::{Mechanism, SwitchedOff};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
@@ -224,7 +224,7 @@
 
 async fn connect(address: SocketAddr) -> Option<Sender> {
     let stream = TcpStream::connect(address).await.ok()?;
-    tune(&stream).ok()?;
+    configure_stream(&stream).ok()?;
     let mut builder = http1::Builder::new();
     builder.read_buf_exact_size(Some(READ_BUFFER_BYTES));
     let (sender, connection) = builder.handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/edge/src/listener.rs
+++ b/crates/edge/src/listener.rs
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use sumacdrift_transport::tune;
+use sumacdrift_transport::configure_stream;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -82,7 +82,7 @@
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if tune(&stream).is_ok() => {
+            Ok((stream, _)) if configure_stream(&stream).is_ok() => {
                 serve_connection(edge, stream, close.clone(), tasks);
             }
             Ok(_) => {}
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream: a length of four bytes, then the protocol buffer message.
+//! Framing on a byte stream: a big-endian four-byte length followed by the encoded frame.
 
 use std::io;
 
@@ -11,14 +11,13 @@
 
 use crate::TrafficCounters;
 
-/// Largest frame accepted; a shard's whole state travels in one.
+/// Largest frame accepted. A shard's whole state is sent in one frame.
 const MAX_FRAME_BYTES: usize = 256 << 20;
-/// Bytes that are gathered before they are written.
+/// Bytes that are batched into one write.
 const WRITE_BATCH_BYTES: usize = 64 << 10;
-/// Bytes of the length before each frame.
-const LENGTH_BYTES: usize = 4;
+/// Size of the length prefix.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Reads frames.
 pub(crate) struct FrameReader<R> {
     frames: FramedRead<R, LengthDelimitedCodec>,
 }
@@ -33,14 +32,14 @@
     pub(crate) async fn next(&mut self, counters: &TrafficCounters) -> io::Result<Option<Frame>> {
         let Some(bytes) = self.frames.next().await else { return Ok(None) };
         let bytes: Bytes = bytes?.freeze();
-        counters.received(bytes.len() + LENGTH_BYTES);
+        counters.record_received(bytes.len() + LENGTH_PREFIX_BYTES);
         let frame =
             Frame::decode(bytes).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
         Ok(Some(frame))
     }
 }
 
-/// Writes frames from a queue until the queue closes. Frames that wait together are written together.
+/// Writes frames from a queue until it is closed. Frames that are queued at the same time are written together.
 pub(crate) async fn write_frames<W: AsyncWrite + Unpin>(
     mut stream: W,
     frames: &mut mpsc::Receiver<Frame>,
@@ -62,7 +61,7 @@
 
 fn append(batch: &mut BytesMut, frame: &Frame, counters: &TrafficCounters) {
     let bytes = frame.encode();
-    counters.sent(bytes.len() + LENGTH_BYTES);
+    counters.record_sent(bytes.len() + LENGTH_PREFIX_BYTES);
     batch.put_u32(bytes.len() as u32);
     batch.put_slice(&bytes);
 }
--- a/crates/transport/src/counters.rs
+++ b/crates/transport/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters that every connection of a node adds to.
+/// Traffic counters shared by all connections of a node.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     sent_messages: AtomicU64,
@@ -11,31 +11,28 @@
     received_bytes: AtomicU64,
 }
 
-/// The counters at one moment.
+/// A reading of the traffic counters. Messages are frames, and bytes include frame headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+#[allow(missing_docs)]
 pub struct TrafficTotals {
-    /// Frames sent.
     pub sent_messages: u64,
-    /// Bytes sent, frame headers included.
     pub sent_bytes: u64,
-    /// Frames received.
     pub received_messages: u64,
-    /// Bytes received, frame headers included.
     pub received_bytes: u64,
 }
 
 impl TrafficCounters {
-    pub(crate) fn sent(&self, bytes: usize) {
+    pub(crate) fn record_sent(&self, bytes: usize) {
         self.sent_messages.fetch_add(1, Ordering::Relaxed);
         self.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn received(&self, bytes: usize) {
+    pub(crate) fn record_received(&self, bytes: usize) {
         self.received_messages.fetch_add(1, Ordering::Relaxed);
         self.received_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Reads the counters.
+    /// Reads the counters; each one separately.
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
             sent_messages: self.sent_messages.load(Ordering::Relaxed),
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,8 +1,8 @@
-//! Connections between nodes: frames over streams, with requests, responses and one-way messages multiplexed.
+//! Connections between nodes: multiplexed requests, responses and one-way messages, framed on byte streams.
 //!
-//! One connection per direction and pair carries everything, so that a node's number of connections is bounded
-//! by the number of peers it really talks to. The stream itself comes from a [`Network`]: TCP in production, an
-//! in-memory one where tests need a virtual clock and injected faults.
+//! Each ordered pair of nodes shares one connection, so that a node's number of connections is bounded by the
+//! number of its peers. Streams come from a [`Network`]: TCP in production, or an in-memory network for tests with
+//! a virtual clock and fault injection.
 
 mod codec;
 mod counters;
@@ -15,7 +15,8 @@
 pub use counters::{TrafficCounters, TrafficTotals};
 pub use memory::MemoryNetwork;
 pub use network::{
-    Acceptor, BoxedFuture, BoxedStream, Network, Stream, TcpNetwork, WatchfulTcpNetwork, listen_tcp, tune,
+    Acceptor, BoxedFuture, BoxedStream, Network, Stream, TcpNetwork, WatchfulTcpNetwork, configure_stream,
+    listen_tcp,
 };
 pub use server::{Handler, serve};
 pub use transport::{Transport, TransportError};
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,4 +1,4 @@
-//! One outgoing connection.
+//! An outgoing connection to a node.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,42 +13,41 @@
 use crate::transport::TransportError;
 use crate::{Network, TrafficCounters};
 
-/// Frames that may wait for a connection; one-way messages beyond that are dropped.
-const QUEUE_FRAMES: usize = 4096;
-/// How long opening a connection may take.
+/// Capacity of the send queue. One-way messages are dropped when it is full.
+const QUEUE_CAPACITY: usize = 4096;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-type Waiting = HashMap<u64, oneshot::Sender<Result<Response, TransportError>>>;
+type PendingRequests = HashMap<u64, oneshot::Sender<Result<Response, TransportError>>>;
 
-/// An outgoing connection, opened on first use.
+/// An outgoing connection; once it is closed it is not reopened.
 #[derive(Debug)]
 pub(crate) struct Link {
     frames: mpsc::Sender<Frame>,
-    waiting: Arc<Mutex<Waiting>>,
+    pending: Arc<Mutex<PendingRequests>>,
     is_open: Arc<AtomicBool>,
     next_exchange: AtomicU64,
 }
 
 impl Link {
-    /// Begins to connect in the background; frames may be queued at once.
+    /// Starts connecting in the background; frames may be queued immediately.
     pub(crate) fn start(
         network: Arc<dyn Network>,
         to: SocketAddr,
         counters: Arc<TrafficCounters>,
     ) -> Arc<Link> {
-        let (frames, queue) = mpsc::channel(QUEUE_FRAMES);
+        let (frames, queue) = mpsc::channel(QUEUE_CAPACITY);
         let link = Arc::new(Link {
             frames,
-            waiting: Arc::default(),
+            pending: Arc::default(),
             is_open: Arc::new(AtomicBool::new(true)),
             next_exchange: AtomicU64::new(1),
         });
-        let (waiting, is_open) = (Arc::clone(&link.waiting), Arc::clone(&link.is_open));
+        let (pending, is_open) = (Arc::clone(&link.pending), Arc::clone(&link.is_open));
         tokio::spawn(async move {
-            let error = run(network, to, queue, &waiting, counters).await;
+            let error = run_connection(network, to, queue, &pending, counters).await;
             is_open.store(false, Ordering::Release);
-            for (_, waiter) in lock(&waiting).drain() {
-                let _ = waiter.send(Err(error.clone()));
+            for (_, responder) in lock(&pending).drain() {
+                let _ = responder.send(Err(error.clone()));
             }
         });
         link
@@ -58,18 +57,18 @@
         self.is_open.load(Ordering::Acquire)
     }
 
-    /// Queues a message without answer; drops it where the queue is full, as a network would.
+    /// Queues a one-way message, or drops it if the queue is full.
     pub(crate) fn send(&self, message: OneWay) {
         let frame = Frame { exchange: 0, body: FrameBody::OneWay(message) };
         let _ = self.frames.try_send(frame);
     }
 
-    /// Sends a request and waits for its answer. Dropping the future tells the other side.
+    /// Sends a request and waits for its response. Dropping the future makes the peer cancel the request.
     pub(crate) async fn request(&self, request: Request) -> Result<Response, TransportError> {
         let exchange = self.next_exchange.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
-        lock(&self.waiting).insert(exchange, sender);
-        let guard = AbandonOnDrop { link: self, exchange };
+        lock(&self.pending).insert(exchange, sender);
+        let guard = CancelOnDrop { link: self, exchange };
         if !self.is_open() {
             return Err(TransportError::Unreachable);
         }
@@ -83,31 +82,31 @@
     }
 }
 
-/// Takes a request out of the waiting list; tells the other side if it was still waited for.
-struct AbandonOnDrop<'a> {
+/// Removes a request from the pending ones; tells the peer to cancel it if it was still pending.
+struct CancelOnDrop<'a> {
     link: &'a Link,
     exchange: u64,
 }
 
-impl Drop for AbandonOnDrop<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if lock(&self.link.waiting).remove(&self.exchange).is_some() {
+        if lock(&self.link.pending).remove(&self.exchange).is_some() {
             let frame = Frame { exchange: self.exchange, body: FrameBody::Abandon };
             let _ = self.link.frames.try_send(frame);
         }
     }
 }
 
-fn lock(waiting: &Mutex<Waiting>) -> MutexGuard<'_, Waiting> {
-    waiting.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(pending: &Mutex<PendingRequests>) -> MutexGuard<'_, PendingRequests> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs the connection to its end and says how requests under way ended.
-async fn run(
+/// Runs the connection until it closes, and returns the error for requests that are still pending.
+async fn run_connection(
     network: Arc<dyn Network>,
     to: SocketAddr,
     mut queue: mpsc::Receiver<Frame>,
-    waiting: &Mutex<Waiting>,
+    pending: &Mutex<PendingRequests>,
     counters: Arc<TrafficCounters>,
 ) -> TransportError {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, network.connect(to)).await;
@@ -117,9 +116,9 @@
     let read = async {
         while let Ok(Some(frame)) = reader.next(&counters).await {
             if let FrameBody::Response(response) = frame.body
-                && let Some(waiter) = lock(waiting).remove(&frame.exchange)
+                && let Some(responder) = lock(pending).remove(&frame.exchange)
             {
-                let _ = waiter.send(Ok(response));
+                let _ = responder.send(Ok(response));
             }
         }
     };
--- a/crates/transport/src/memory.rs
+++ b/crates/transport/src/memory.rs
@@ -1,4 +1,4 @@
-//! A network inside one process, for tests on a virtual clock and for hollow nodes.
+//! In-memory network within one process, for tests with a virtual clock and for simulated nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -10,7 +10,7 @@
 
 use crate::network::{Acceptor, BoxedFuture, BoxedStream, Network};
 
-/// Bytes that a stream holds before its writer has to wait.
+/// Buffer of a stream; writers wait when it is full.
 const STREAM_BUFFER_BYTES: usize = 256 * 1024;
 
 #[derive(Debug, Default)]
@@ -19,19 +19,19 @@
     unreachable: BTreeSet<SocketAddr>,
 }
 
-/// Streams between addresses that exist only in this process.
+/// An in-memory network; clones share its listeners.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryNetwork {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl MemoryNetwork {
-    /// A network without listeners.
+    /// Creates a network without listeners.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Lets new connections to an address fail, or succeed again.
+    /// Makes new connections to an address fail, or succeed again. Open connections are not affected.
     pub fn set_reachable(&self, address: SocketAddr, is_reachable: bool) {
         let mut inner = self.lock();
         if is_reachable {
@@ -52,9 +52,9 @@
             return Err(refused());
         }
         let listener = inner.listeners.get(&to).ok_or_else(refused)?;
-        let (near, far) = duplex(STREAM_BUFFER_BYTES);
-        listener.send(far).map_err(|_| refused())?;
-        Ok(Box::new(near))
+        let (local, remote) = duplex(STREAM_BUFFER_BYTES);
+        listener.send(remote).map_err(|_| refused())?;
+        Ok(Box::new(local))
     }
 }
 
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,4 +1,4 @@
-//! Where streams come from.
+//! The network abstraction, and TCP.
 
 use std::future::Future;
 use std::io;
@@ -9,18 +9,18 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A byte stream in both directions.
+/// A bidirectional byte stream.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Stream for T {}
 
-/// A byte stream whose kind does not matter.
+/// A boxed byte stream.
 pub type BoxedStream = Box<dyn Stream>;
 
-/// A future whose kind does not matter.
+/// A boxed future.
 pub type BoxedFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Makes and accepts streams.
+/// Opens and accepts streams.
 pub trait Network: Send + Sync {
     /// Opens a stream to an address.
     fn connect(&self, to: SocketAddr) -> BoxedFuture<'_, io::Result<BoxedStream>>;
@@ -34,102 +34,104 @@
     /// Waits for the next stream.
     fn accept(&mut self) -> BoxedFuture<'_, io::Result<BoxedStream>>;
 
-    /// The address in fact listened on, which differs from the one asked for where that had port 0.
+    /// The bound address; it has the actual port if port 0 was requested.
     fn local_address(&self) -> SocketAddr;
 }
 
-/// TCP.
+/// TCP with the system's default timeouts.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TcpNetwork;
 
 impl Network for TcpNetwork {
     fn connect(&self, to: SocketAddr) -> BoxedFuture<'_, io::Result<BoxedStream>> {
-        Box::pin(async move { connect(to, send_at_once).await })
+        Box::pin(async move { connect(to, disable_nagle).await })
     }
 
     fn listen(&self, at: SocketAddr) -> BoxedFuture<'_, io::Result<Box<dyn Acceptor>>> {
-        Box::pin(async move { accept_with(at, send_at_once) })
+        Box::pin(async move { listen_with(at, disable_nagle) })
     }
 }
 
-/// TCP between nodes that are milliseconds apart: a peer that fell silent is noticed within seconds, and a connection
-/// that does not come up is given up soon.
+/// TCP between nearby nodes: connecting fails fast, and a silent peer is detected within seconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WatchfulTcpNetwork;
 
-/// Time for a connection between nodes that are milliseconds apart. One to a node that is just coming up must fail
-/// soon, so that the next one finds it there.
-const NEAR_CONNECT_TIME: Duration = Duration::from_millis(120);
+/// Connect timeout between nodes that are milliseconds apart. Connecting to a node that is still starting must fail
+/// soon, so that the next attempt can succeed.
+const NEARBY_CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 
 impl Network for WatchfulTcpNetwork {
     fn connect(&self, to: SocketAddr) -> BoxedFuture<'_, io::Result<BoxedStream>> {
-        Box::pin(async move { tokio::time::timeout(NEAR_CONNECT_TIME, connect(to, tune)).await? })
+        Box::pin(
+            async move { tokio::time::timeout(NEARBY_CONNECT_TIMEOUT, connect(to, configure_stream)).await? },
+        )
     }
 
     fn listen(&self, at: SocketAddr) -> BoxedFuture<'_, io::Result<Box<dyn Acceptor>>> {
-        Box::pin(async move { accept_with(at, tune) })
+        Box::pin(async move { listen_with(at, configure_stream) })
     }
 }
 
-/// Sets a new connection's options.
-type Prepare = fn(&TcpStream) -> io::Result<()>;
+/// Sets the socket options of a new connection.
+type ConfigureStream = fn(&TcpStream) -> io::Result<()>;
 
-/// Small frames must not wait for each other's acknowledgement.
-fn send_at_once(stream: &TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm, which would delay small frames.
+fn disable_nagle(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)
 }
 
-async fn connect(to: SocketAddr, prepare: Prepare) -> io::Result<BoxedStream> {
+async fn connect(to: SocketAddr, configure: ConfigureStream) -> io::Result<BoxedStream> {
     let stream = TcpStream::connect(to).await?;
-    prepare(&stream)?;
+    configure(&stream)?;
     Ok(Box::new(stream) as BoxedStream)
 }
 
-fn accept_with(at: SocketAddr, prepare: Prepare) -> io::Result<Box<dyn Acceptor>> {
+fn listen_with(at: SocketAddr, configure: ConfigureStream) -> io::Result<Box<dyn Acceptor>> {
     let listener = listen_tcp(at)?;
     let address = listener.local_addr()?;
-    Ok(Box::new(TcpAcceptor { listener, address, prepare }) as Box<dyn Acceptor>)
+    Ok(Box::new(TcpAcceptor { listener, address, configure }) as Box<dyn Acceptor>)
 }
 
-/// How long sent bytes may stay unacknowledged before the connection counts as broken. A peer without power says
-/// nothing; without this limit a connection to it would hang for minutes.
-pub const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
-/// How long a connection may be silent before the peer is probed, and the time between probes.
-pub const PROBE_AFTER: Duration = Duration::from_secs(1);
+/// How long sent bytes may stay unacknowledged before the connection counts as broken. Without it, a connection to
+/// a peer that lost power would hang for minutes.
+pub const USER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Idle time before the first TCP keep-alive probe, and the time between probes.
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends small pieces at once and notices a peer that fell silent.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
-    send_at_once(stream)?;
+/// Sets the socket options of a connection that must detect a silent peer: no delay, user timeout and keep-alive.
+pub fn configure_stream(stream: &TcpStream) -> io::Result<()> {
+    disable_nagle(stream)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-    let probes = socket2::TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER);
-    socket.set_tcp_keepalive(&probes)
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+    let keepalive =
+        socket2::TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Connections that may wait to be accepted. The default of 128 overflows when a few hundred callers connect at
-/// once, and each refused one then waits a second before it tries again.
-const BACKLOG: u32 = 4096;
+/// Backlog of connections to be accepted. The default of 128 overflows when a few hundred callers connect at once,
+/// and each rejected one waits a second before it retries.
+const LISTEN_BACKLOG: u32 = 4096;
 
-/// Listens on a TCP address, with room for a burst of connections.
+/// Listens on a TCP address, with a backlog for bursts of connections.
 pub fn listen_tcp(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A node that restarts must get its address back while old connections linger.
+    // Lets a restarted node bind its address while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 struct TcpAcceptor {
     listener: TcpListener,
     address: SocketAddr,
-    prepare: Prepare,
+    configure: ConfigureStream,
 }
 
 impl Acceptor for TcpAcceptor {
     fn accept(&mut self) -> BoxedFuture<'_, io::Result<BoxedStream>> {
         Box::pin(async move {
             let (stream, _) = self.listener.accept().await?;
-            (self.prepare)(&stream)?;
+            (self.configure)(&stream)?;
             Ok(Box::new(stream) as BoxedStream)
         })
     }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! The server side: answers requests of other nodes.
+//! The server side: accepts connections and handles requests of other nodes.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -13,21 +13,21 @@
 use crate::codec::{FrameReader, write_frames};
 use crate::{Acceptor, BoxedStream, TrafficCounters};
 
-/// Responses that may wait for a slow reader before requests of that connection wait too.
-const QUEUE_FRAMES: usize = 4096;
-/// Finished exchanges are swept out of the table when it has grown by this many.
-const SWEEP_AFTER: usize = 256;
+/// Capacity of a connection's response queue. When a slow reader lets it fill up, handlers wait.
+const QUEUE_CAPACITY: usize = 4096;
+/// Finished requests are removed from the table when it has grown by this many.
+const SWEEP_THRESHOLD: usize = 256;
 
-/// What a node does with messages of others.
+/// Handles the messages of other nodes.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a request. The future is dropped when the asker no longer waits.
+    /// Handles a request. The future is dropped when the requester cancels or its connection closes.
     fn request(self: Arc<Self>, request: Request) -> Pin<Box<dyn Future<Output = Response> + Send>>;
 
-    /// Takes a message without answer. Must not block.
+    /// Handles a one-way message. Must not block.
     fn one_way(&self, message: OneWay);
 }
 
-/// Accepts connections until `stop` is cancelled; connections then end as their peers close them.
+/// Accepts connections until `stop` is cancelled, which also closes the open ones.
 pub async fn serve(
     mut acceptor: Box<dyn Acceptor>,
     handler: Arc<dyn Handler>,
@@ -45,13 +45,13 @@
                     serve_connection(stream, Arc::clone(&handler), Arc::clone(&counters), stop.clone());
                 tokio::spawn(connection);
             }
-            // Running out of descriptors is temporary; a busy loop would make it worse.
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            // Running out of file descriptors is temporary; a busy loop would make it worse.
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
 
 async fn serve_connection(
     stream: BoxedStream,
@@ -60,7 +60,7 @@
     stop: CancellationToken,
 ) {
     let (read_half, write_half) = tokio::io::split(stream);
-    let (responses, mut queue) = mpsc::channel(QUEUE_FRAMES);
+    let (responses, mut queue) = mpsc::channel(QUEUE_CAPACITY);
     let mut reader = FrameReader::new(read_half);
     let mut exchanges = Exchanges::default();
     let read = async {
@@ -76,11 +76,11 @@
     exchanges.abort_all();
 }
 
-/// Requests of one connection that are being handled.
+/// Requests of one connection that are being handled, by exchange number.
 #[derive(Default)]
 struct Exchanges {
     running: HashMap<u64, AbortHandle>,
-    swept_at: usize,
+    size_after_sweep: usize,
 }
 
 impl Exchanges {
@@ -110,9 +110,9 @@
             let _ = responses.send(Frame { exchange, body: FrameBody::Response(response) }).await;
         });
         self.running.insert(exchange, task.abort_handle());
-        if self.running.len() > self.swept_at + SWEEP_AFTER {
+        if self.running.len() > self.size_after_sweep + SWEEP_THRESHOLD {
             self.running.retain(|_, task| !task.is_finished());
-            self.swept_at = self.running.len();
+            self.size_after_sweep = self.running.len();
         }
     }
 
--- a/crates/transport/src/transport.rs
+++ b/crates/transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! The client side: requests and messages to other nodes.
+//! The client side: requests and one-way messages to other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use crate::link::Link;
 use crate::{Network, TrafficCounters};
 
-/// A request to another node was not answered.
+/// Why a request to another node failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TransportError {
     /// No connection could be opened; nothing was sent.
-    #[error("the node can't be reached")]
+    #[error("node is unreachable")]
     Unreachable,
     /// The connection broke after the request may have been sent.
-    #[error("the connection broke before the answer came")]
+    #[error("connection closed before the response arrived")]
     Lost,
-    /// No answer came in time; the request may have been handled.
-    #[error("no answer came in time")]
+    /// No response arrived in time; the request may have been handled.
+    #[error("no response arrived in time")]
     TimedOut,
 }
 
-/// Outgoing connections of one node.
+/// The outgoing connections of a node, one for each peer address.
 pub struct Transport {
     network: Arc<dyn Network>,
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
@@ -32,27 +32,27 @@
 }
 
 impl Transport {
-    /// A transport without connections.
+    /// Creates a transport; connections are opened on first use.
     pub fn new(network: Arc<dyn Network>, counters: Arc<TrafficCounters>) -> Self {
         Self { network, links: Mutex::default(), counters }
     }
 
-    /// The counters of all connections.
+    /// Traffic counters of all connections.
     pub fn counters(&self) -> &Arc<TrafficCounters> {
         &self.counters
     }
 
-    /// The network that streams come from.
+    /// The network that connections are opened on.
     pub fn network(&self) -> &Arc<dyn Network> {
         &self.network
     }
 
-    /// Sends a message that may be lost.
+    /// Sends a one-way message, which may be lost.
     pub fn send(&self, to: SocketAddr, message: OneWay) {
         self.link(to).send(message);
     }
 
-    /// Sends a request and waits for the answer, at most for `timeout`.
+    /// Sends a request and waits for the response, at most for `timeout`.
     pub async fn request(
         &self,
         to: SocketAddr,
@@ -60,11 +60,11 @@
         timeout: Duration,
     ) -> Result<Response, TransportError> {
         let link = self.link(to);
-        let answer = tokio::time::timeout(timeout, link.request(request)).await;
-        answer.unwrap_or(Err(TransportError::TimedOut))
+        let response = tokio::time::timeout(timeout, link.request(request)).await;
+        response.unwrap_or(Err(TransportError::TimedOut))
     }
 
-    /// Number of connections that are open or being opened.
+    /// Number of connections, including closed ones that have not been replaced.
     pub fn connections(&self) -> usize {
         self.links.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
