--- a/crates/edge/src/access.rs
+++ b/crates/edge/src/access.rs
@@ -1,4 +1,4 @@
-//! Whether a caller is admitted, and whether its tenant may make one more call.
+//! Admission of callers by API key, and tenants' quotas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,53 +12,49 @@
 use crate::dialect::Dialect;
 use crate::edge::Edge;
 
-/// When a caller is told to come back that asked a node which knows too little of keys, give or take a quarter so that
-/// callers don't come back all at once. The store has been out of reach for seconds then, and as a rule stays so for about
-/// as long again: a program whose turns have few tries outlasts it with long pauses, not with short ones.
-const COME_BACK_WHEN_TOO_OLD: Duration = Duration::from_millis(800);
-/// The same where no node that counts calls answered.
-const COME_BACK_WHEN_UNCOUNTED: Duration = Duration::from_millis(200);
+/// Retry delay if the configuration is too old to check keys, with a jitter of ±25 % so that callers don't retry
+/// all at once. The store has usually been unreachable for seconds and stays so for about as long again, which few
+/// retries outlast only with long delays.
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(800);
+/// Retry delay if no node that counts quotas responded.
+const QUOTA_UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Share of a call's time, as a divisor, for which it waits at the most until enough is known of keys, and the longest such
-/// time: what is left is enough for its run, or for another try elsewhere.
-const PATIENCE_SHARE: u32 = 3;
-const LONGEST_PATIENCE: Duration = Duration::from_millis(1000);
+/// A call waits for a fresh enough configuration for at most this fraction (as a divisor) of its time and at most
+/// [`MAX_ADMISSION_WAIT`]. The rest is enough to run the call or to retry elsewhere.
+const ADMISSION_WAIT_DIVISOR: u32 = 3;
+const MAX_ADMISSION_WAIT: Duration = Duration::from_millis(1000);
 
-/// A call is not admitted; it has not run.
+/// The call was not admitted and has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Denied {
-    /// Why.
     pub(crate) code: ResultCode,
-    /// When to come back, where that may help.
+    /// Retry delay, if a retry may help.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// Who calls, and with what right.
+/// An admitted caller.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     key: Option<ApiKey>,
     is_public: bool,
-    /// The tenant, where the caller showed a key that is known.
+    /// The tenant of the caller's key; `None` if the key is absent or not known.
     pub(crate) tenant: Option<Arc<Tenant>>,
-    /// Whether keys are the system's business, so that engines must not see them.
+    /// Whether the edge checks keys, so that they must not be forwarded to engines.
     pub(crate) has_checked_key: bool,
 }
 
-/// What is decided of a caller, and by what.
+/// An access decision and what it was based on.
 struct AccessDecision {
     outcome: Result<Option<Arc<Tenant>>, AccessRefusal>,
-    /// Whether keys are checked at all.
     requires_keys: bool,
-    /// Version of the configuration in force.
     version: Option<u64>,
-    /// How old it is.
+    /// Time since the configuration was last confirmed; `None` if it never was.
     age: Option<Duration>,
 }
 
 impl<D: Dialect> Edge<D> {
-    /// Admits a caller, or not, by what is known of its key. Where too little is known it is waited for a while, as a store that
-    /// was away may be back at any moment and callers have few tries: a tool's call of 1.2 s with one retry outlasts 0.4 s by
-    /// retrying, and twice that by waiting.
+    /// Admits or denies a caller by its key. If the configuration is too old to decide, waits for a confirmation
+    /// for a while: the store may become reachable at any moment, and callers have few retries.
     pub(crate) async fn admit(
         &self,
         head: &CallHead,
@@ -66,27 +62,27 @@
         is_public: bool,
         machine: &CallMachine,
     ) -> Result<Caller, Denied> {
-        let mut confirmations = self.confirmations();
-        let begun = self.clock.now();
-        let patience = (machine.deadline().since(begun) / PATIENCE_SHARE).min(LONGEST_PATIENCE);
-        let until = self.clock.instant(begun + patience);
-        let decided = loop {
-            let decided = self.decide_access(key.as_ref(), is_public);
-            let is_too_old = matches!(decided.outcome, Err(AccessRefusal::TooOld));
+        let mut confirmations = self.watch_confirmations();
+        let started = self.clock.now();
+        let max_wait = (machine.deadline().since(started) / ADMISSION_WAIT_DIVISOR).min(MAX_ADMISSION_WAIT);
+        let until = self.clock.instant(started + max_wait);
+        let decision = loop {
+            let decision = self.decide_access(key.as_ref(), is_public);
+            let is_too_old = matches!(decision.outcome, Err(AccessRefusal::TooOld));
             if !is_too_old || tokio::time::timeout_at(until, confirmations.changed()).await.is_err() {
-                break decided;
+                break decision;
             }
         };
-        let has_checked_key = decided.requires_keys;
-        let waited = self.clock.now().since(begun);
-        let tenant = self.report_access(&head.id, key.is_some(), waited, decided).map_err(denied)?;
+        let has_checked_key = decision.requires_keys;
+        let waited = self.clock.now().since(started);
+        let tenant = self.report_access(&head.id, key.is_some(), waited, decision).map_err(deny)?;
         Ok(Caller { key, is_public, tenant, has_checked_key })
     }
 
-    /// Whether a caller that was admitted would be admitted now: a key that was withdrawn meanwhile opens nothing more.
-    pub(crate) fn is_still_admitted(&self, head: &CallHead, caller: &Caller) -> Result<(), ResultCode> {
-        let decided = self.decide_access(caller.key.as_ref(), caller.is_public);
-        let outcome = self.report_access(&head.id, caller.key.is_some(), Duration::ZERO, decided);
+    /// Checks an admitted caller again, so that a key withdrawn meanwhile starts no further attempts.
+    pub(crate) fn recheck_access(&self, head: &CallHead, caller: &Caller) -> Result<(), ResultCode> {
+        let decision = self.decide_access(caller.key.as_ref(), caller.is_public);
+        let outcome = self.report_access(&head.id, caller.key.is_some(), Duration::ZERO, decision);
         outcome.map(drop).map_err(AccessRefusal::code)
     }
 
@@ -100,17 +96,17 @@
         AccessDecision { outcome, requires_keys, version: table.map(|table| table.version), age }
     }
 
-    /// Says why a caller is denied, if it is.
+    /// Logs and counts the denial, if the caller is denied.
     fn report_access(
         &self,
         call: &str,
         has_key: bool,
         waited: Duration,
-        decided: AccessDecision,
+        decision: AccessDecision,
     ) -> Result<Option<Arc<Tenant>>, AccessRefusal> {
-        let AccessDecision { outcome, version, age, .. } = decided;
+        let AccessDecision { outcome, version, age, .. } = decision;
         if let Err(refusal) = &outcome {
-            self.metrics.gave_up(refusal.code());
+            self.metrics.record_given_up(refusal.code());
             info!(self.logger, "caller denied"; "event" => "access_refused", "call" => call,
                 "code" => refusal.code().number(), "reason" => %refusal, "has_key" => has_key,
                 "version" => version, "age_ms" => age.map(millis), "waited_ms" => millis(waited),
@@ -119,8 +115,8 @@
         outcome
     }
 
-    /// Counts a call for its tenant, unless that would be beyond the tenant's quota.
-    pub(crate) async fn count_call(
+    /// Counts the call against its tenant's quota; denies it if the quota is used up or can't be checked.
+    pub(crate) async fn check_quota(
         &self,
         head: &CallHead,
         caller: &Caller,
@@ -128,37 +124,40 @@
     ) -> Result<(), Denied> {
         let Some(tenant) = &caller.tenant else { return Ok(()) };
         let Some(limit) = tenant.quota else { return Ok(()) };
-        let asked = self.clock.now();
+        let started = self.clock.now();
         let version = self.routes().table().map_or(0, |table| table.version);
-        let until = self.clock.instant(machine.admission_deadline(asked));
+        let until = self.clock.instant(machine.admission_deadline(started));
         let program = head.program.as_ref().map(|program| stable_hash(&[program.program.as_bytes()]));
         let call = QuotaCall { tenant: &tenant.name, program, limit, version };
         let outcome = self.quotas.ask(call, until).await;
-        let waited = self.clock.now().since(asked);
+        let waited = self.clock.now().since(started);
         self.metrics.quota_seconds.observe(waited.as_secs_f64());
-        let (refused, counted) = match outcome {
+        let (denied, counted) = match outcome {
             QuotaOutcome::Granted => return Ok(()),
             QuotaOutcome::Exceeded { retry_after, counted } => {
                 (Denied { code: ResultCode::QuotaExceeded, retry_after: Some(retry_after) }, Some(counted))
             }
             QuotaOutcome::Unavailable => (
-                Denied { code: ResultCode::QuotaUnavailable, retry_after: Some(COME_BACK_WHEN_UNCOUNTED) },
+                Denied {
+                    code: ResultCode::QuotaUnavailable,
+                    retry_after: Some(QUOTA_UNAVAILABLE_RETRY_AFTER),
+                },
                 None,
             ),
         };
-        self.metrics.gave_up(refused.code);
-        info!(self.logger, "call not within its quota"; "event" => "quota_refused", "call" => &head.id,
-            "tenant" => &*tenant.name, "code" => refused.code.number(), "counted" => counted,
+        self.metrics.record_given_up(denied.code);
+        info!(self.logger, "call rejected by its tenant's quota"; "event" => "quota_refused", "call" => &head.id,
+            "tenant" => &*tenant.name, "code" => denied.code.number(), "counted" => counted,
             "most" => limit.most(), "version" => version, "waited_ms" => millis(waited),
-            "retry_after_ms" => refused.retry_after.map(millis));
-        Err(refused)
+            "retry_after_ms" => denied.retry_after.map(millis));
+        Err(denied)
     }
 }
 
-fn denied(refusal: AccessRefusal) -> Denied {
+fn deny(refusal: AccessRefusal) -> Denied {
     let retry_after = match refusal {
         AccessRefusal::UnknownKey => None,
-        AccessRefusal::TooOld => Some(COME_BACK_WHEN_TOO_OLD.mul_f64(0.75 + rand::random::<f64>() / 2.0)),
+        AccessRefusal::TooOld => Some(STALE_RETRY_AFTER.mul_f64(0.75 + rand::random::<f64>() / 2.0)),
     };
     Denied { code: refusal.code(), retry_after }
 }
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an engine: choosing it, sending the call, judging the head of the answer.
+//! Attempts of a call: engine selection, sending the request, and classifying the response head.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,26 +18,25 @@
 use crate::edge::Edge;
 use crate::engine_pool::SendError;
 use crate::engine_run::EngineRun;
-use crate::headers::forwardable;
-use crate::service_queues::RoomHeld;
+use crate::headers::without_hop_by_hop;
+use crate::service_queues::QueueSlot;
 
-/// How long calls that are answered as a whole are believed to take before some were seen.
-const STARTING_WHOLE_TIME: Duration = Duration::from_millis(50);
+/// Assumed duration of a buffered call on a route without observations.
+const DEFAULT_CALL_TIME: Duration = Duration::from_millis(50);
 const BYTES_PER_KILOBYTE: f64 = 1e3;
 
-/// What is sent to engines, the same for every attempt.
-pub(crate) struct Forwarded {
+/// The request to engines, the same for every attempt.
+pub(crate) struct ForwardedRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Forwarded {
-    /// The caller's request with the body that engines get.
+impl ForwardedRequest {
     pub(crate) fn new<D: Dialect>(dialect: &D, caller: &Caller, head: &request::Parts, body: Bytes) -> Self {
         let keys = if caller.has_checked_key { KeyUse::System } else { KeyUse::Engines };
-        let mut headers = forwardable(&head.headers);
+        let mut headers = without_hop_by_hop(&head.headers);
         dialect.drop_owned(&mut headers, keys);
         let path = head.uri.path_and_query().cloned();
         let uri = path.map_or_else(|| head.uri.clone(), Uri::from);
@@ -45,91 +44,89 @@
     }
 }
 
-/// Everything that stands for the whole of a call.
+/// State of a call that its attempts share.
 pub(crate) struct CallContext<D: Dialect> {
     pub(crate) edge: Arc<Edge<D>>,
     pub(crate) head: CallHead,
     pub(crate) caller: Caller,
     pub(crate) selected: Selected,
-    pub(crate) forwarded: Forwarded,
-    /// The prompt of a stream, empty for other calls.
+    pub(crate) forwarded: ForwardedRequest,
+    /// Prompt parts of a stream; empty for other calls.
     pub(crate) parts: Vec<PartNeed>,
     pub(crate) accepted: Timestamp,
-    /// Regions in which it may be served.
     pub(crate) regions: AllowedRegions,
-    /// Its place at the service's engines, where calls are put in order.
-    pub(crate) room: Option<RoomHeld<D>>,
+    /// The slot that the call holds in its service's queue; `None` if calls are not queued.
+    pub(crate) slot: Option<QueueSlot<D>>,
 }
 
 impl<D: Dialect> CallContext<D> {
-    /// An engine served the call, this long after it was accepted: teaches how long calls of its kind take, but for the wait.
-    pub(crate) fn observe_served(&self, taken: Duration) {
-        let waited = self.room.as_ref().map_or(Duration::ZERO, |room| room.waited);
-        self.edge.usual_times().observe(&self.selected.route.name, taken.saturating_sub(waited));
+    /// Records how long a served call took since it was accepted, without its time in the queue.
+    pub(crate) fn observe_served(&self, elapsed: Duration) {
+        let waited = self.slot.as_ref().map_or(Duration::ZERO, |slot| slot.waited);
+        self.edge.route_durations().observe(&self.selected.route.name, elapsed.saturating_sub(waited));
     }
 
-    /// How long calls of this kind usually take, where some were seen.
-    pub(crate) fn usual_time(&self) -> Option<Duration> {
-        self.edge.usual_times().of(&self.selected.route.name)
+    /// Average duration of the route's calls; `None` if there are no observations.
+    pub(crate) fn typical_time(&self) -> Option<Duration> {
+        self.edge.route_durations().average(&self.selected.route.name)
     }
 
-    /// Why no engine can be chosen.
     fn no_engine_code(&self) -> ResultCode {
         if self.regions.are_all() { ResultCode::NoEngine } else { ResultCode::NoEngineInRegion }
     }
 
-    fn is_about_something(&self) -> bool {
+    fn has_sticky_affinity(&self) -> bool {
         self.selected.route.is_sticky && self.head.affinity.is_some()
     }
 
-    /// By which equal engines are told apart: calls of a program prefer the same one, and so do calls about the same
-    /// thing; others are spread.
+    /// Tie-breaker among equal engines: calls of the same program, or with the same affinity on a sticky route,
+    /// prefer the same engine; others are spread randomly.
     fn placement_key(&self) -> u64 {
         let is_stream = self.selected.route.rules.kind.is_stream();
         let program = self.head.program.as_ref().filter(|_| is_stream);
-        let thing = self.head.affinity.as_ref().filter(|_| self.is_about_something());
-        match program.map(|program| &program.program).or(thing) {
+        let affinity = self.head.affinity.as_ref().filter(|_| self.has_sticky_affinity());
+        match program.map(|program| &program.program).or(affinity) {
             Some(key) => stable_hash(&[key.as_bytes()]),
             None => rand::random(),
         }
     }
 }
 
-/// An engine's answer that may be passed on.
-pub(crate) struct Answered<D: Dialect> {
+/// An engine's response that may be forwarded.
+pub(crate) struct EngineResponse<D: Dialect> {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
     pub(crate) run: EngineRun<D>,
 }
 
-/// Tries engines until one answers or the call is to be given up.
-pub(crate) async fn find_answer<D: Dialect>(
+/// Attempts engines until one responds or the call must be given up.
+pub(crate) async fn attempt_until_response<D: Dialect>(
     call: &CallContext<D>,
     machine: &mut CallMachine,
     first: Next,
-) -> Result<Answered<D>, Next> {
+) -> Result<EngineResponse<D>, Next> {
     let mut next = first;
-    let patience = call.edge.permits_awaited_until(machine);
+    let permit_deadline = call.edge.permit_wait_deadline(machine);
     loop {
         let Next::Try { avoid, rather_not, only } = next else { return Err(next) };
-        if let Err(code) = call.edge.is_still_admitted(&call.head, &call.caller) {
+        if let Err(code) = call.edge.recheck_access(&call.head, &call.caller) {
             return Err(machine.denied(code));
         }
         if call.edge.clock.now() >= machine.deadline() {
             return Err(machine.expired());
         }
-        let tried = Tried { avoid: &avoid, rather_not: &rather_not, only: only.as_ref() };
-        let (placed, permit) = match place(call, machine, &tried, patience).await {
-            Place::At(placed, permit) => (placed, permit),
-            Place::Refused => {
+        let restrictions = Restrictions { avoid: &avoid, rather_not: &rather_not, only: only.as_ref() };
+        let (placed, permit) = match select_engine(call, machine, &restrictions, permit_deadline).await {
+            Placement::Selected(placed, permit) => (placed, permit),
+            Placement::PermitDenied => {
                 next = Next::Try { avoid, rather_not, only };
                 continue;
             }
-            Place::Nowhere => return Err(machine.no_engine(call.no_engine_code())),
+            Placement::NoEngine => return Err(machine.no_engine(call.no_engine_code())),
         };
         machine.sent(&placed.engine);
         match try_engine(call, machine, &placed, permit).await {
-            Ok(answered) => return Ok(answered),
+            Ok(response) => return Ok(response),
             Err(failure) => {
                 let now = call.edge.clock.now();
                 next = machine.failed(&placed.engine, failure, now);
@@ -139,66 +136,65 @@
     }
 }
 
-/// What the tries before leave to choose from, see [`Next::Try`].
-struct Tried<'a> {
+/// Restrictions from earlier attempts, see [`Next::Try`].
+struct Restrictions<'a> {
     avoid: &'a [EngineId],
     rather_not: &'a [EngineId],
     only: Option<&'a EngineId>,
 }
 
-/// Where a call is to go.
-enum Place {
-    /// To this engine, by a permit where that one is cold.
-    At(Placed, Option<Permit>),
-    /// The engine that was chosen is cold and takes no more for now; others may be there.
-    Refused,
-    /// To none.
-    Nowhere,
+enum Placement {
+    /// With a permit if the engine is cold.
+    Selected(Placed, Option<Permit>),
+    /// No permit is available now; select again, as other engines may be eligible.
+    PermitDenied,
+    NoEngine,
 }
 
-/// Chooses an engine, and asks for a permit where it is cold. Where only cold engines are there that take no more for now,
-/// the next permit is waited for: a caller that is turned away has few tries.
-async fn place<D: Dialect>(
+/// Selects an engine and acquires a permit if it is cold. If only cold engines without a permit are eligible, waits
+/// until the next permit may be requested, since a rejected caller has few retries.
+async fn select_engine<D: Dialect>(
     call: &CallContext<D>,
     machine: &CallMachine,
-    tried: &Tried<'_>,
-    patience: Timestamp,
-) -> Place {
+    restrictions: &Restrictions<'_>,
+    permit_deadline: Timestamp,
+) -> Placement {
     let edge = &call.edge;
-    let Some(placed) = choose(call, tried) else {
+    let Some(placed) = choose_eligible(call, restrictions) else {
         let now = edge.clock.now();
-        let again = with_request(call, tried, |request| edge.book().cold_again_at(request, now));
-        return match again.filter(|again| *again <= patience) {
-            Some(again) => {
-                tokio::time::sleep_until(edge.clock.instant(again)).await;
-                Place::Refused
+        let next_permit =
+            with_placement_request(call, restrictions, |request| edge.engines().cold_again_at(request, now));
+        return match next_permit.filter(|next_permit| *next_permit <= permit_deadline) {
+            Some(next_permit) => {
+                tokio::time::sleep_until(edge.clock.instant(next_permit)).await;
+                Placement::PermitDenied
             }
-            None => Place::Nowhere,
+            None => Placement::NoEngine,
         };
     };
-    let Some(cold) = placed.cold else { return Place::At(placed, None) };
-    match edge.permit(&call.head, &placed.engine, cold, machine).await {
-        Some(permit) => Place::At(placed, Some(permit)),
-        None => Place::Refused,
+    let Some(cold) = placed.cold else { return Placement::Selected(placed, None) };
+    match edge.acquire_permit(&call.head, &placed.engine, cold, machine).await {
+        Some(permit) => Placement::Selected(placed, Some(permit)),
+        None => Placement::PermitDenied,
     }
 }
 
-fn choose<D: Dialect>(call: &CallContext<D>, tried: &Tried<'_>) -> Option<Placed> {
+fn choose_eligible<D: Dialect>(call: &CallContext<D>, restrictions: &Restrictions<'_>) -> Option<Placed> {
     let now = call.edge.clock.now();
-    with_request(call, tried, |request| call.edge.book().choose(request, now))
+    with_placement_request(call, restrictions, |request| call.edge.engines().choose(request, now))
 }
 
-/// What the call needs of an engine.
-fn with_request<D: Dialect, T>(
+/// Calls `ask` with the call's placement request.
+fn with_placement_request<D: Dialect, T>(
     call: &CallContext<D>,
-    tried: &Tried<'_>,
+    restrictions: &Restrictions<'_>,
     ask: impl FnOnce(&PlacementRequest<'_>) -> T,
 ) -> T {
     let work = match call.selected.route.rules.kind.is_stream() {
         true => RequestedWork::Stream { parts: &call.parts },
         false => RequestedWork::Whole {
-            usual: call.usual_time().unwrap_or(STARTING_WHOLE_TIME),
-            is_sticky: call.is_about_something(),
+            usual: call.typical_time().unwrap_or(DEFAULT_CALL_TIME),
+            is_sticky: call.has_sticky_affinity(),
         },
     };
     ask(&PlacementRequest {
@@ -208,9 +204,9 @@
         work,
         kilobytes: call.forwarded.body.len() as f64 / BYTES_PER_KILOBYTE,
         is_connected: &|engine| call.edge.pool.is_connected(engine),
-        avoid: tried.avoid,
-        rather_not: tried.rather_not,
-        only: tried.only,
+        avoid: restrictions.avoid,
+        rather_not: restrictions.rather_not,
+        only: restrictions.only,
     })
 }
 
@@ -219,14 +215,14 @@
     machine: &CallMachine,
     placed: &Placed,
     permit: Option<Permit>,
-) -> Result<Answered<D>, Failure> {
+) -> Result<EngineResponse<D>, Failure> {
     let edge = &call.edge;
     let mut run = EngineRun::begin(edge, placed);
     let request = engine_request(call, machine, placed);
     let deadline = edge.clock.instant(machine.deadline());
-    let may_send = || edge.book().may_send(&placed.engine, permit, edge.clock.now());
+    let may_send = || edge.engines().may_send(&placed.engine, permit, edge.clock.now());
     let sending = edge.pool.send(&placed.engine, placed.address, request, &may_send);
-    let answer = match tokio::time::timeout_at(deadline, sending).await {
+    let response = match tokio::time::timeout_at(deadline, sending).await {
         Err(_) => {
             run.fail(Outcome::Faulty);
             return Err(Failure::Lost);
@@ -244,12 +240,12 @@
             run.fail(Outcome::Faulty);
             return Err(Failure::Lost);
         }
-        Ok(Ok(answer)) => answer,
+        Ok(Ok(response)) => response,
     };
-    run.answered_on(answer.connection, answer.connected_in);
-    let failure = match edge.dialect.read_answer(&answer.head, &call.head) {
+    run.record_connection(response.connection, response.connect_time);
+    let failure = match edge.dialect.read_answer(&response.head, &call.head) {
         AnswerKind::Genuine => {
-            return Ok(Answered { head: answer.head, body: answer.body, run });
+            return Ok(EngineResponse { head: response.head, body: response.body, run });
         }
         AnswerKind::NotRun { retry_after } => Failure::Rejected { retry_after },
         AnswerKind::WrongEngine => Failure::WrongEngine,
@@ -264,21 +260,21 @@
     Err(failure)
 }
 
-/// Urgency of a program's turn; other calls have the engine's usual one.
+/// Urgency of a program's turn; `None` for other calls, which get the engine's default.
 fn urgency_of<D: Dialect>(call: &CallContext<D>) -> Option<u8> {
     if !call.edge.settings.off.allows(Mechanism::Urgency) {
         return None;
     }
     let route = &call.selected.route;
     let program = call.head.program.as_ref().filter(|_| route.rules.kind.is_stream())?;
-    let passed = call.edge.clock.now().since(call.accepted);
+    let elapsed = call.edge.clock.now().since(call.accepted);
     let tenant = call.caller.tenant.as_ref();
     Some(urgency(&UrgencyFacts {
-        // A tenant's rank goes before its route's.
+        // A tenant's priority overrides its route's.
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.rules.priority),
         program_hash: stable_hash(&[program.program.as_bytes()]),
-        program_time_left: program.time_left.map(|left| left.saturating_sub(passed)),
-        usual_time: call.usual_time(),
+        program_time_left: program.time_left.map(|left| left.saturating_sub(elapsed)),
+        usual_time: call.typical_time(),
     }))
 }
 
--- /dev/null
+++ b/crates/edge/src/buffered.rs
@@ -0,0 +1,101 @@
+//! Calls whose response is buffered and forwarded as a whole.
+
+use bytes::Bytes;
+use http::{Response, response};
+use sumacdrift_calls::{CallMachine, Failure, Next};
+use sumacdrift_http_client::gather as gather_body;
+use sumacdrift_routing::{Outcome, Placed};
+
+use crate::attempt::{CallContext, EngineResponse, attempt_until_response};
+use crate::dialect::Dialect;
+use crate::headers::without_hop_by_hop;
+use crate::metrics::GaugeGuard;
+use crate::responses::{EdgeBody, full_body};
+
+/// Largest response that is buffered.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+
+/// Runs a call until it has a response to forward or is given up.
+pub(crate) async fn run_buffered<D: Dialect>(
+    call: &CallContext<D>,
+    machine: &mut CallMachine,
+) -> Result<Response<EdgeBody>, Next> {
+    let _in_flight = GaugeGuard::increment(&call.edge.metrics.in_flight);
+    let mut next = machine.begin(call.edge.clock.now());
+    // A server error of an engine, forwarded if no other engine does better.
+    let mut failed: Option<BufferedResponse> = None;
+    loop {
+        let received = match attempt_until_response(call, machine, next).await {
+            Ok(received) => received,
+            Err(next) => return failed.map(|failed| failed.forward(call, machine)).ok_or(next),
+        };
+        let placed = received.run.placed().clone();
+        let (engine, failure) = match buffer_response(call, machine, received).await {
+            Ok((head, bytes)) => {
+                let response = BufferedResponse { head, bytes, placed };
+                let engine = response.placed.engine.clone();
+                if !response.head.status.is_server_error() || !machine.may_run_elsewhere(&engine) {
+                    return Ok(response.forward(call, machine));
+                }
+                failed = Some(response);
+                (engine, Failure::ServerError)
+            }
+            Err(failure) => (placed.engine, failure),
+        };
+        next = machine.failed(&engine, failure, call.edge.clock.now());
+    }
+}
+
+struct BufferedResponse {
+    head: response::Parts,
+    bytes: Bytes,
+    placed: Placed,
+}
+
+impl BufferedResponse {
+    fn forward<D: Dialect>(self, call: &CallContext<D>, machine: &CallMachine) -> Response<EdgeBody> {
+        let status = self.head.status;
+        if status.is_success() {
+            let elapsed = call.edge.clock.now().since(call.accepted);
+            call.edge.metrics.buffered_seconds.observe(elapsed.as_secs_f64());
+            call.observe_served(elapsed);
+            if let Some(slot) = &call.slot {
+                slot.mark_served();
+            }
+        }
+        call.report_served(machine, status.as_u16(), &self.placed);
+        forwarded_response(&self.head, full_body(self.bytes))
+    }
+}
+
+/// A response to the caller with the engine's status and end-to-end headers, and the given body.
+pub(crate) fn forwarded_response(head: &response::Parts, body: EdgeBody) -> Response<EdgeBody> {
+    let mut response = Response::new(body);
+    *response.status_mut() = head.status;
+    *response.headers_mut() = without_hop_by_hop(&head.headers);
+    response
+}
+
+/// Reads an engine's response to its end, within the call's deadline.
+pub(crate) async fn buffer_response<D: Dialect>(
+    call: &CallContext<D>,
+    machine: &CallMachine,
+    received: EngineResponse<D>,
+) -> Result<(response::Parts, Bytes), Failure> {
+    let deadline = call.edge.clock.instant(machine.deadline());
+    let buffering = tokio::time::timeout_at(deadline, gather_body(received.body, MAX_RESPONSE_BYTES)).await;
+    match buffering {
+        Ok(Ok(bytes)) => {
+            if received.head.status.is_success() {
+                received.run.finish_whole(call.typical_time());
+            } else {
+                received.run.finish_failed(received.head.status);
+            }
+            Ok((received.head, bytes))
+        }
+        Ok(Err(_)) | Err(_) => {
+            received.run.fail(Outcome::Faulty);
+            Err(Failure::Lost)
+        }
+    }
+}
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -1,11 +1,11 @@
-//! The process's clock in the form that decision code takes.
+//! The process clock, converted between the runtime's [`Instant`] and [`Timestamp`].
 
 use std::time::Duration;
 
 use sumacdrift_types::Timestamp;
 use tokio::time::Instant;
 
-/// Time since the process started.
+/// Measures time since it was created, normally at process start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -18,17 +18,17 @@
 }
 
 impl Clock {
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         Timestamp::default() + self.origin.elapsed()
     }
 
-    /// A point of the runtime's timers; `None` where it lies before the process's start.
+    /// Converts an instant; `None` if it lies before the clock's origin.
     pub fn timestamp(&self, at: Instant) -> Option<Timestamp> {
         at.checked_duration_since(self.origin).map(|passed| Timestamp::default() + passed)
     }
 
-    /// A point as the runtime's timers take it.
+    /// Converts a timestamp to an instant for the runtime's timers.
     pub fn instant(&self, at: Timestamp) -> Instant {
         self.origin + Duration::from_micros(at.0)
     }
--- a/crates/edge/src/cold_permit.rs
+++ b/crates/edge/src/cold_permit.rs
@@ -1,7 +1,7 @@
-//! Permits for calls to engines that are cold: all nodes together send such an engine no more than it takes.
+//! Permits for calls to cold engines, which limit the rate of all nodes together to what such an engine can take.
 //!
-//! The nodes that count tenants' calls count these too, one name an engine; see [`sumacdrift_storage::QuotaClient`]. A node
-//! that can't ask sends nothing there.
+//! They are counted by the nodes that count tenants' quotas, under one name per engine; see
+//! [`sumacdrift_storage::QuotaClient`]. A node that can't get a permit sends nothing to the engine.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
 use crate::dialect::Dialect;
 use crate::edge::Edge;
 
-/// Any span of this length counts.
+/// The limit holds over any window of this length.
 const PERMIT_WINDOW: Duration = Duration::from_secs(1);
-/// How long an engine is not asked for again by a node whose call was not permitted, at the least and at the most: shorter
-/// pauses only ask in vain, and within the longest one an engine may be warm.
-const LEAST_PAUSE: Duration = Duration::from_millis(40);
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// The same where no node that counts answered.
-const PAUSE_UNCOUNTED: Duration = Duration::from_millis(200);
-/// How long a call waits for permits where only cold engines are there. Longer than most pauses until the next permit; a
-/// caller that would wait longer is better told to come back.
-const PERMIT_PATIENCE: Duration = Duration::from_millis(400);
-/// Stands before an engine's name among the names of what is counted. Tenants' names hold no control characters.
-const COLD_ENGINE: &str = "cold\u{1f}";
+/// Bounds of the back-off after a permit was denied: shorter ones only lead to another denial, and within a longer
+/// one the engine may have warmed up.
+const MIN_BACKOFF: Duration = Duration::from_millis(40);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// Back-off if no counting node responded.
+const UNAVAILABLE_BACKOFF: Duration = Duration::from_millis(200);
+/// Longest wait of a call for a permit if only cold engines are eligible. It exceeds most waits for the next
+/// permit; for longer ones the caller is better told to retry.
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(400);
+/// Prefix of an engine's name among the counted names. Tenants' names contain no control characters.
+const COLD_ENGINE_PREFIX: &str = "cold\u{1f}";
 
-/// How much more than told cold engines may get before it counts as too much.
+/// Tolerated excess over the configured call rate of cold engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdTolerance {
-    /// Times the calls a second that a service's cold engines take.
+    /// Factor on the rate, in calls per second, that a service's cold engines take.
     pub times: f64,
-    /// Calls besides.
+    /// Additional calls within the window.
     pub calls: f64,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ColdTolerance {
-    /// The limit for all nodes together.
+    /// The limit for all nodes together, chosen so that no window exceeds the tolerated rate.
     pub fn limit(self, cold: ColdLimit) -> QuotaLimit {
         let bound = cold.calls_per_second * self.times + self.calls;
         QuotaLimit::within_bound(cold.calls_per_second, bound, PERMIT_WINDOW, PERMIT_LASTS)
@@ -53,8 +53,9 @@
 }
 
 impl<D: Dialect> Edge<D> {
-    /// Asks for a permit for one call to a cold engine. Where there is none, the engine is not chosen again for a while.
-    pub(crate) async fn permit(
+    /// Requests a permit for one call to a cold engine. If it is denied, the engine is not selected again until a
+    /// back-off has passed.
+    pub(crate) async fn acquire_permit(
         &self,
         head: &CallHead,
         engine: &EngineId,
@@ -64,30 +65,30 @@
         let asked = self.clock.now();
         let limit = self.settings.cold.limit(cold);
         let version = self.routes().table().map_or(0, |table| table.version);
-        let counted = format!("{COLD_ENGINE}{engine}");
-        let call = QuotaCall { tenant: &counted, program: None, limit, version };
+        let counted_name = format!("{COLD_ENGINE_PREFIX}{engine}");
+        let call = QuotaCall { tenant: &counted_name, program: None, limit, version };
         let until = (asked + PERMIT_LASTS).min(machine.deadline());
         let outcome = self.quotas.ask(call, self.clock.instant(until)).await;
-        let pause = match outcome {
+        let backoff = match outcome {
             QuotaOutcome::Granted => {
                 self.metrics.permits.inc();
                 return Some(Permit { asked });
             }
-            QuotaOutcome::Exceeded { retry_after, .. } => retry_after.clamp(LEAST_PAUSE, LONGEST_PAUSE),
-            QuotaOutcome::Unavailable => PAUSE_UNCOUNTED,
+            QuotaOutcome::Exceeded { retry_after, .. } => retry_after.clamp(MIN_BACKOFF, MAX_BACKOFF),
+            QuotaOutcome::Unavailable => UNAVAILABLE_BACKOFF,
         };
         self.metrics.permits_refused.inc();
         let now = self.clock.now();
-        self.book().cold_refused(engine, now + pause);
-        info!(self.logger, "no permit for a cold engine"; "event" => "permit_refused", "call" => &head.id,
+        self.engines().cold_refused(engine, now + backoff);
+        info!(self.logger, "no permit for a call to a cold engine"; "event" => "permit_refused", "call" => &head.id,
             "engine" => %engine, "outcome" => ?outcome, "most" => limit.most(), "version" => version,
-            "waited_ms" => now.since(asked).as_millis() as u64, "pause_ms" => pause.as_millis() as u64);
+            "waited_ms" => now.since(asked).as_millis() as u64, "pause_ms" => backoff.as_millis() as u64);
         None
     }
 
-    /// Until when a call that is to be sent now waits for permits where only cold engines are there.
-    pub(crate) fn permits_awaited_until(&self, machine: &CallMachine) -> Timestamp {
+    /// Until when a call may wait for permits if only cold engines are eligible.
+    pub(crate) fn permit_wait_deadline(&self, machine: &CallMachine) -> Timestamp {
         let now = self.clock.now();
-        machine.admission_deadline(now).min(now + PERMIT_PATIENCE)
+        machine.admission_deadline(now).min(now + MAX_PERMIT_WAIT)
     }
 }
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Caller connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::dialect::Dialect;
 use crate::edge::Edge;
 
-/// Limits before a configuration is in force.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Limits until a configuration is in force.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const DEFAULT_HEADER_BYTES: usize = 16 << 10;
-/// The least buffer that the HTTP library takes.
+/// The minimum buffer size that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Serves a caller's connection; `close` ends it between two requests.
+/// Serves a caller's connection. Cancelling `close` closes it after the request in flight.
 pub(crate) fn serve_connection<D: Dialect>(
     edge: &Arc<Edge<D>>,
     stream: TcpStream,
@@ -30,10 +30,10 @@
     tasks: &TaskTracker,
 ) {
     let limits = edge.limits();
-    let idle = limits.map_or(DEFAULT_IDLE, |limits| limits.idle_time);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_time);
     let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.header_bytes);
     let edge = Arc::clone(edge);
-    // Boxed, so that a connection that rests does not keep room for a call.
+    // Boxed, so that an idle connection does not hold memory for a call.
     let service =
         service_fn(move |request: Request<Incoming>| Box::pin(serve_call(Arc::clone(&edge), request)));
     let connection = http1::Builder::new()
@@ -47,7 +47,7 @@
             _ = connection.as_mut() => return,
             () = close.cancelled() => connection.as_mut().graceful_shutdown(),
         }
-        // An error here is a caller that broke off or broke the protocol; it has been answered or is gone.
+        // The caller disconnected or violated the protocol; nothing is left to respond to.
         let _ = connection.await;
     });
 }
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The port to a wire format: how calls, engines' requests and answers look. It translates and decides nothing.
+//! The port to a wire format: parses calls and engine responses, and writes the headers of requests to engines. It
+//! makes no decisions.
 
 use std::time::Duration;
 
@@ -7,71 +8,70 @@
 use sumacdrift_calls::{CallHead, EngineId};
 use sumacdrift_types::ResultCode;
 
-/// A caller's head can't be understood.
+/// Why the head of a caller's request was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{detail}")]
 pub struct BadCall {
-    /// Why.
+    /// The result code to respond with.
     pub code: ResultCode,
-    /// What is wrong, for the caller.
+    /// What is wrong with the request.
     pub detail: String,
 }
 
-/// One attempt at an engine.
+/// One attempt of a call at an engine.
 #[derive(Debug, Clone)]
 pub struct EngineAttempt<'a> {
-    /// The engine that must answer.
+    /// The engine that the request is meant for.
     pub engine: &'a EngineId,
-    /// Time that is left.
+    /// Time until the call's deadline.
     pub time_left: Duration,
-    /// The event after which a stream is taken up; `None` where the caller's own wish stands.
+    /// Id of the event after which the stream resumes; `None` leaves the caller's own request for it in place.
     pub resume_after: Option<&'a str>,
-    /// Name of the tenant whose key the caller holds, where there is one.
+    /// Name of the tenant that the caller's key belongs to, if any.
     pub tenant: Option<&'a str>,
-    /// Urgency: 0 is first, 9 is last; `None` for the engine's usual one.
+    /// 0 is the most urgent, 9 the least; `None` for the engine's default.
     pub urgency: Option<u8>,
 }
 
-/// Whose business callers' keys are.
+/// Who checks the callers' API keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyUse {
-    /// The system checks them; engines never see them.
+    /// The edge checks keys and does not forward them to engines.
     System,
-    /// The system knows no tenants; what callers show is for the engines.
+    /// No tenants are configured; keys are forwarded to engines.
     Engines,
 }
 
-/// What an engine's answer is.
+/// Classification of an engine's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// The engine's own answer to this call, to be passed on unchanged.
+    /// The engine's own response to this call, to be forwarded unchanged.
     Genuine,
-    /// The engine says that the call has not run.
+    /// The engine rejected the call without running it.
     NotRun {
-        /// When it wants to be asked again.
+        /// When the engine asks to be retried.
         retry_after: Option<Duration>,
     },
-    /// Another engine has the address; the call has not run.
+    /// A different engine has the address; the call has not run.
     WrongEngine,
-    /// It belongs to another call.
+    /// The response belongs to another call.
     Foreign,
-    /// It is not what an engine answers, though it may come from one.
+    /// Not a valid engine response, though it may come from an engine.
     Spoiled,
 }
 
-/// A wire format.
+/// A wire format between callers, the edge and engines.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads what a caller says.
+    /// Parses the head of a caller's request.
     fn read_call(&self, head: &request::Parts) -> Result<CallHead, BadCall>;
-    /// The key that a caller shows; `None` where it shows none, or more than one.
+    /// The caller's API key; `None` if there is none, or more than one.
     fn read_key(&self, headers: &HeaderMap) -> Option<ApiKey>;
-    /// Drops from a caller's headers what only the system may say to engines, and its key where that is the system's
-    /// business.
+    /// Removes the headers that only the edge may send to engines, and with [`KeyUse::System`] the caller's key.
     fn drop_owned(&self, headers: &mut HeaderMap, keys: KeyUse);
-    /// Headers of the request to an engine, from those of the caller that may be forwarded.
+    /// Headers of the request to an engine, built from the caller's headers that may be forwarded.
     fn engine_headers(&self, forwarded: HeaderMap, attempt: &EngineAttempt<'_>) -> HeaderMap;
-    /// What an engine's answer is.
+    /// Classifies an engine's response.
     fn read_answer(&self, head: &response::Parts, call: &CallHead) -> AnswerKind;
-    /// The status that tells callers of a result code.
+    /// The HTTP status for a result code.
     fn status(&self, code: ResultCode) -> StatusCode;
 }
--- a/crates/edge/src/engine_pool.rs
+++ b/crates/edge/src/engine_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to engines. One connection carries one request at a time; a resting one is used again only while the
-//! engine surely keeps it.
+//! Connection pool for engines. A connection carries one request at a time, and an idle one is reused only while
+//! the engine can be expected to keep it open.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,206 +19,204 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
-use crate::headers::{keep_alive_seconds, says_close};
-use crate::rest_limit::{Reset, RestLimit};
+use crate::headers::{has_connection_close, keep_alive_timeout_seconds};
+use crate::idle_limit::{IdleLimit, Reset};
 
-/// Time for a new connection; engines answer within milliseconds.
+/// Timeout for new connections; engines accept within milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection may rest where the engine does not say how long it keeps one.
-const DEFAULT_REST: Duration = Duration::from_millis(900);
-/// How much sooner than the engine a resting connection is given up.
-const REST_MARGIN: Duration = Duration::from_millis(700);
-/// Time for a resting connection to show that it is alive.
+/// Idle timeout if the engine does not announce one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
+/// How much earlier than the engine the pool drops an idle connection.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// Time for an idle connection to become ready for a request.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Bytes that a connection reads at once, and keeps room for while it rests. Heads and events are far smaller.
+/// Read buffer of a connection, also held while it is idle. Response heads and events are far smaller.
 const READ_BUFFER_BYTES: usize = 2 << 10;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A request could not be sent, or no answer came.
+/// A request could not be sent, or no response arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// No byte was sent.
     NotSent,
-    /// No byte was sent, as the engine may not get the call any more.
+    /// No byte was sent, because the engine may no longer receive the call.
     Withheld,
-    /// It may have been received.
+    /// The engine may have received the request.
     Lost,
 }
 
-struct Resting {
+struct IdleConnection {
     sender: Sender,
     since: Instant,
     until: Instant,
 }
 
-/// A connection that may carry the next request.
-struct Rested {
+/// An idle connection taken for reuse.
+struct ReusableConnection {
     sender: Sender,
-    rested: Duration,
+    idle_for: Duration,
 }
 
-/// Connections to engines, by engine.
 pub(crate) struct EnginePool {
     off: SwitchedOff,
-    resting: Mutex<HashMap<EngineId, Vec<Resting>>>,
-    rest_limit: Mutex<RestLimit>,
+    idle: Mutex<HashMap<EngineId, Vec<IdleConnection>>>,
+    idle_limit: Mutex<IdleLimit>,
     clock: Clock,
 }
 
-/// An engine's answer: its head, its body, and the connection that it comes on.
-pub(crate) struct PoolAnswer {
+pub(crate) struct PoolResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) connection: UsedConnection,
-    /// How long the connection took to come up, where it is new.
-    pub(crate) connected_in: Option<Duration>,
+    pub(crate) connection: ActiveConnection,
+    /// Time to connect; `None` for a reused connection.
+    pub(crate) connect_time: Option<Duration>,
 }
 
-/// A connection that carries an answer. Dropping it closes the connection, which tells the engine to stop.
-pub(crate) struct UsedConnection {
+/// A connection that carries a response. Dropping it closes the connection, which makes the engine cancel the call.
+pub(crate) struct ActiveConnection {
     sender: Sender,
     engine: EngineId,
     pool: Arc<EnginePool>,
-    rest: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
-impl UsedConnection {
-    /// The answer was read to its end; the connection may serve again.
+impl ActiveConnection {
+    /// Returns the connection to the pool after a complete response.
     pub(crate) fn release(self) {
-        let Some(rest) = self.rest else { return };
+        let Some(idle_timeout) = self.idle_timeout else { return };
         let now = Instant::now();
-        let resting = Resting { sender: self.sender, since: now, until: now + rest };
-        let mut pool = self.pool.resting.lock().unwrap_or_else(PoisonError::into_inner);
-        pool.entry(self.engine).or_default().push(resting);
+        let idle = IdleConnection { sender: self.sender, since: now, until: now + idle_timeout };
+        let mut pool = self.pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        pool.entry(self.engine).or_default().push(idle);
     }
 }
 
 impl EnginePool {
-    /// No connections yet.
     pub(crate) fn new(off: SwitchedOff) -> Self {
-        Self { off, resting: Mutex::default(), rest_limit: Mutex::default(), clock: Clock::default() }
+        Self { off, idle: Mutex::default(), idle_limit: Mutex::default(), clock: Clock::default() }
     }
 
-    /// Sends a request and waits for the head of the answer. `may_send` is asked right before the sending: a connection may
-    /// take a quarter of a second to come up.
+    /// Sends a request and waits for the response head. `may_send` is checked immediately before sending, since
+    /// connecting may take as long as its timeout.
     pub(crate) async fn send(
         self: &Arc<Self>,
         engine: &EngineId,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         may_send: &(dyn Fn() -> bool + Sync),
-    ) -> Result<PoolAnswer, SendError> {
+    ) -> Result<PoolResponse, SendError> {
         let mut request = request;
-        while let Some(Rested { mut sender, rested }) = self.take(engine) {
+        while let Some(ReusableConnection { mut sender, idle_for }) = self.take(engine) {
             if !matches!(tokio::time::timeout(READY_TIMEOUT, sender.ready()).await, Ok(Ok(()))) {
                 continue;
             }
             if !may_send() {
-                self.rest_again(engine, sender);
+                self.return_unused(engine, sender);
                 return Err(SendError::Withheld);
             }
             let sent = Instant::now();
             match sender.try_send_request(request).await {
-                Ok(answer) => return Ok(self.answer(engine, sender, answer, None)),
+                Ok(response) => return Ok(self.pool_response(engine, sender, response, None)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(self.lost(Some(rested), sent)),
+                    None => return Err(self.record_lost(Some(idle_for), sent)),
                 },
             }
         }
         let connecting_since = Instant::now();
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(address)).await;
         let Ok(Some(mut sender)) = connecting else { return Err(SendError::NotSent) };
-        let connected_in = connecting_since.elapsed();
+        let connect_time = connecting_since.elapsed();
         if !may_send() {
-            self.rest_again(engine, sender);
+            self.return_unused(engine, sender);
             return Err(SendError::Withheld);
         }
         let sent = Instant::now();
         match sender.try_send_request(request).await {
-            Ok(answer) => Ok(self.answer(engine, sender, answer, Some(connected_in))),
+            Ok(response) => Ok(self.pool_response(engine, sender, response, Some(connect_time))),
             Err(mut error) => Err(match error.take_message() {
                 Some(_) => SendError::NotSent,
-                None => self.lost(None, sent),
+                None => self.record_lost(None, sent),
             }),
         }
     }
 
-    /// A connection that was about to be used rests again.
-    fn rest_again(&self, engine: &EngineId, sender: Sender) {
+    /// Returns a connection to the pool without having used it.
+    fn return_unused(&self, engine: &EngineId, sender: Sender) {
         let now = Instant::now();
-        let resting = Resting { sender, since: now, until: now + DEFAULT_REST };
-        let mut pool = self.resting.lock().unwrap_or_else(PoisonError::into_inner);
-        pool.entry(engine.clone()).or_default().push(resting);
+        let idle = IdleConnection { sender, since: now, until: now + DEFAULT_IDLE_TIMEOUT };
+        let mut pool = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        pool.entry(engine.clone()).or_default().push(idle);
     }
 
-    /// A request was reset; learns from it.
-    fn lost(&self, rested: Option<Duration>, sent: Instant) -> SendError {
+    /// Records a reset for the idle limit.
+    fn record_lost(&self, idle_for: Option<Duration>, sent: Instant) -> SendError {
         if !self.off.allows(Mechanism::RestLimit) {
             return SendError::Lost;
         }
-        let reset = Reset { rested, after: sent.elapsed() };
-        self.rest_limit().was_reset(reset, self.clock.now());
+        let reset = Reset { idle_for, delay: sent.elapsed() };
+        self.idle_limit().record_reset(reset, self.clock.now());
         SendError::Lost
     }
 
-    /// Whether a connection to the engine rests.
+    /// Whether the pool holds an idle connection to the engine.
     pub(crate) fn is_connected(&self, engine: &EngineId) -> bool {
         let now = Instant::now();
-        let pool = self.resting.lock().unwrap_or_else(PoisonError::into_inner);
-        pool.get(engine).is_some_and(|resting| resting.iter().any(|connection| connection.until > now))
+        let pool = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        pool.get(engine).is_some_and(|idle| idle.iter().any(|connection| connection.until > now))
     }
 
-    /// Closes connections that have rested too long, and those of engines that are gone.
+    /// Closes expired connections, and those of engines that are not known any more.
     pub(crate) fn sweep(&self, is_known: impl Fn(&EngineId) -> bool) {
         let now = Instant::now();
-        let mut pool = self.resting.lock().unwrap_or_else(PoisonError::into_inner);
-        pool.retain(|engine, resting| {
-            resting.retain(|connection| connection.until > now && !connection.sender.is_closed());
-            !resting.is_empty() && is_known(engine)
+        let mut pool = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        pool.retain(|engine, idle| {
+            idle.retain(|connection| connection.until > now && !connection.sender.is_closed());
+            !idle.is_empty() && is_known(engine)
         });
     }
 
-    fn rest_limit(&self) -> MutexGuard<'_, RestLimit> {
-        self.rest_limit.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle_limit(&self) -> MutexGuard<'_, IdleLimit> {
+        self.idle_limit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, engine: &EngineId) -> Option<Rested> {
+    fn take(&self, engine: &EngineId) -> Option<ReusableConnection> {
         let now = Instant::now();
-        let limit = *self.rest_limit();
-        let mut pool = self.resting.lock().unwrap_or_else(PoisonError::into_inner);
-        let resting = pool.get_mut(engine)?;
-        // The one used last has the longest time left.
-        while let Some(connection) = resting.pop() {
-            let rested = now.duration_since(connection.since);
-            let may_serve = connection.until > now && limit.allows(rested, self.clock.now());
+        let limit = *self.idle_limit();
+        let mut pool = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let idle = pool.get_mut(engine)?;
+        // The connection used last has the longest time left.
+        while let Some(connection) = idle.pop() {
+            let idle_for = now.duration_since(connection.since);
+            let may_serve = connection.until > now && limit.allows(idle_for, self.clock.now());
             if may_serve && !connection.sender.is_closed() {
-                return Some(Rested { sender: connection.sender, rested });
+                return Some(ReusableConnection { sender: connection.sender, idle_for });
             }
         }
         None
     }
 
-    fn answer(
+    fn pool_response(
         self: &Arc<Self>,
         engine: &EngineId,
         sender: Sender,
-        answer: http::Response<Incoming>,
-        connected_in: Option<Duration>,
-    ) -> PoolAnswer {
-        let (head, body) = answer.into_parts();
-        let rest = if says_close(&head.headers) {
+        response: http::Response<Incoming>,
+        connect_time: Option<Duration>,
+    ) -> PoolResponse {
+        let (head, body) = response.into_parts();
+        let idle_timeout = if has_connection_close(&head.headers) {
             None
         } else {
-            match keep_alive_seconds(&head.headers) {
-                Some(seconds) => Duration::from_secs(seconds).checked_sub(REST_MARGIN),
-                None => Some(DEFAULT_REST),
+            match keep_alive_timeout_seconds(&head.headers) {
+                Some(seconds) => Duration::from_secs(seconds).checked_sub(IDLE_TIMEOUT_MARGIN),
+                None => Some(DEFAULT_IDLE_TIMEOUT),
             }
         };
-        let connection = UsedConnection { sender, engine: engine.clone(), pool: Arc::clone(self), rest };
-        PoolAnswer { head, body, connection, connected_in }
+        let connection =
+            ActiveConnection { sender, engine: engine.clone(), pool: Arc::clone(self), idle_timeout };
+        PoolResponse { head, body, connection, connect_time }
     }
 }
 
@@ -229,7 +227,8 @@
     builder.read_buf_exact_size(Some(READ_BUFFER_BYTES));
     let (sender, connection) = builder.handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
-        // Ends when the sender is dropped or the engine closes; how requests fared is told to their senders.
+        // Ends when the sender is dropped or the engine closes the connection. Errors are reported through the
+        // sender.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/edge/src/engine_run.rs
+++ b/crates/edge/src/engine_run.rs
@@ -1,4 +1,4 @@
-//! A call under way at an engine: counted there, timed, and told to the book when it ends.
+//! Tracks a call in flight at an engine: its load, its timing, and its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,9 +10,8 @@
 
 use crate::dialect::Dialect;
 use crate::edge::Edge;
-use crate::engine_pool::UsedConnection;
+use crate::engine_pool::ActiveConnection;
 
-/// Events seen so far.
 #[derive(Debug, Clone, Copy)]
 struct EventTimes {
     first: Timestamp,
@@ -20,94 +19,94 @@
     events: u64,
 }
 
-/// A call under way at an engine; counted there until this is ended or dropped.
+/// A call in flight at an engine, counted in the engine's load until this is finished or dropped.
 pub(crate) struct EngineRun<D: Dialect> {
     edge: Arc<Edge<D>>,
     pub(crate) engine: EngineId,
     placed: Placed,
     sent: Timestamp,
-    /// Tokens that still count as unread.
+    /// Prompt tokens that still count as unread in the engine's load.
     unread_tokens: u64,
-    times: Option<EventTimes>,
-    connection: Option<UsedConnection>,
-    /// What the way there took, which says nothing of the engine.
-    on_the_way: Duration,
+    event_times: Option<EventTimes>,
+    connection: Option<ActiveConnection>,
+    /// Connect and round-trip time, which is not part of the engine's own time.
+    network_time: Duration,
     outcome: Outcome,
 }
 
 impl<D: Dialect> EngineRun<D> {
-    /// The call goes to an engine now.
+    /// Counts the call at the engine, just before it is sent.
     pub(crate) fn begin(edge: &Arc<Edge<D>>, placed: &Placed) -> Self {
         let sent = edge.clock.now();
-        edge.book().sent(&placed.engine, placed.unread_tokens, sent);
+        edge.engines().sent(&placed.engine, placed.unread_tokens, sent);
         Self {
             edge: Arc::clone(edge),
             engine: placed.engine.clone(),
             placed: placed.clone(),
             sent,
             unread_tokens: placed.unread_tokens,
-            times: None,
+            event_times: None,
             connection: None,
-            on_the_way: Duration::ZERO,
+            network_time: Duration::ZERO,
             outcome: Outcome::Sound,
         }
     }
 
-    /// The answer comes on this connection, which took so long to come up where it is new.
-    pub(crate) fn answered_on(&mut self, connection: UsedConnection, connected_in: Option<Duration>) {
+    /// Records the connection that carries the response; `connect_time` is given if it is new.
+    pub(crate) fn record_connection(&mut self, connection: ActiveConnection, connect_time: Option<Duration>) {
         self.connection = Some(connection);
-        let mut book = self.edge.book();
-        if let Some(connected_in) = connected_in {
-            book.connected(&self.engine, connected_in);
+        let mut engines = self.edge.engines();
+        if let Some(connect_time) = connect_time {
+            engines.connected(&self.engine, connect_time);
         }
-        self.on_the_way = book.round_trip(&self.engine) + connected_in.unwrap_or_default();
+        self.network_time = engines.round_trip(&self.engine) + connect_time.unwrap_or_default();
     }
 
-    /// Why the engine was chosen.
+    /// The placement decision that selected the engine.
     pub(crate) fn placed(&self) -> &Placed {
         &self.placed
     }
 
-    /// Events of a stream came.
-    pub(crate) fn events_came(&mut self, events: usize) {
+    /// Records events of a stream. With the first ones the prompt counts as read.
+    pub(crate) fn record_events(&mut self, events: usize) {
         let now = self.edge.clock.now();
-        if self.times.is_none() {
-            self.was_read();
+        if self.event_times.is_none() {
+            self.clear_unread();
         }
-        let times = self.times.get_or_insert(EventTimes { first: now, last: now, events: 0 });
-        times.last = now;
-        times.events += events as u64;
+        let event_times = self.event_times.get_or_insert(EventTimes { first: now, last: now, events: 0 });
+        event_times.last = now;
+        event_times.events += events as u64;
     }
 
-    /// A stream was read to its end.
+    /// Ends the run after a complete stream, and records the engine's speed.
     pub(crate) fn finish_stream(self) {
-        if let Some(times) = self.times {
-            let seen = StreamSeen {
-                first_millis: millis(times.first.since(self.sent).saturating_sub(self.on_the_way)),
-                rest_millis: millis(times.last.since(times.first)),
-                events: times.events,
+        if let Some(event_times) = self.event_times {
+            let observed = StreamSeen {
+                first_millis: millis(event_times.first.since(self.sent).saturating_sub(self.network_time)),
+                rest_millis: millis(event_times.last.since(event_times.first)),
+                events: event_times.events,
                 tokens_ahead: self.placed.tokens_ahead,
                 running: self.placed.running,
             };
-            self.edge.book().observe_stream(&self.engine, &seen, self.edge.clock.now());
+            self.edge.engines().observe_stream(&self.engine, &observed, self.edge.clock.now());
         }
         self.finish();
     }
 
-    /// A whole answer was read, of a call that usually takes so long.
-    pub(crate) fn finish_whole(self, usual: Option<Duration>) {
+    /// Ends the run after a complete response, and records the engine's speed relative to `typical`, the route's
+    /// average duration.
+    pub(crate) fn finish_whole(self, typical: Option<Duration>) {
         let now = self.edge.clock.now();
-        if let Some(usual) = usual.filter(|usual| !usual.is_zero()) {
-            let taken = now.since(self.sent).saturating_sub(self.on_the_way);
-            let slowness = taken.as_secs_f64() / usual.as_secs_f64();
-            self.edge.book().observe_whole(&self.engine, slowness, now);
+        if let Some(typical) = typical.filter(|typical| !typical.is_zero()) {
+            let elapsed = now.since(self.sent).saturating_sub(self.network_time);
+            let slowness = elapsed.as_secs_f64() / typical.as_secs_f64();
+            self.edge.engines().observe_whole(&self.engine, slowness, now);
         }
         self.finish();
     }
 
-    /// A whole answer was read that tells of a failure. It says nothing of the engine's speed: an engine that fails in
-    /// 3 ms what takes others 300 ms would look like the fastest one and draw their calls. A server's error is the
-    /// engine's fault; a client's error is not.
+    /// Ends the run after a complete error response. Its timing is ignored: an engine that fails fast would
+    /// otherwise look like the fastest one and attract calls. Only server errors count against the engine.
     pub(crate) fn finish_failed(mut self, status: StatusCode) {
         if status.is_server_error() {
             self.edge.metrics.server_errors.inc();
@@ -116,7 +115,7 @@
         self.finish();
     }
 
-    /// The call failed here.
+    /// Ends the run after a failure. The connection is closed, not reused.
     pub(crate) fn fail(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -127,16 +126,16 @@
         }
     }
 
-    fn was_read(&mut self) {
+    fn clear_unread(&mut self) {
         let unread_tokens = std::mem::take(&mut self.unread_tokens);
-        self.edge.book().was_read(&self.engine, unread_tokens);
+        self.edge.engines().was_read(&self.engine, unread_tokens);
     }
 }
 
 impl<D: Dialect> Drop for EngineRun<D> {
     fn drop(&mut self) {
-        self.was_read();
-        self.edge.engine_ended(&self.engine, self.outcome);
+        self.clear_unread();
+        self.edge.record_outcome(&self.engine, self.outcome);
     }
 }
 
--- a/crates/edge/src/headers.rs
+++ b/crates/edge/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers.
 
 use http::HeaderMap;
 use http::header::{
@@ -6,8 +6,8 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers of one connection, besides those that `Connection` names.
-const OF_CONNECTION: [HeaderName; 9] = [
+/// Headers that are always removed, besides those listed in `Connection`.
+const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -20,8 +20,8 @@
 ];
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that travel along: all but those of the connection. The length of a body is set anew.
-pub fn forwardable(headers: &HeaderMap) -> HeaderMap {
+/// Copies the headers without the hop-by-hop ones. The HTTP library sets the body length again.
+pub fn without_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
     for value in headers.get_all(CONNECTION) {
         let names = value.to_str().unwrap_or_default().split(',');
@@ -29,22 +29,21 @@
             forwarded.remove(name);
         }
     }
-    for name in &OF_CONNECTION {
+    for name in &HOP_BY_HOP {
         forwarded.remove(name);
     }
     forwarded.remove(KEEP_ALIVE);
     forwarded
 }
 
-/// Whether the connection ends with this message.
-pub(crate) fn says_close(headers: &HeaderMap) -> bool {
+pub(crate) fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     let mut names = values.filter_map(|value| value.to_str().ok()).flat_map(|value| value.split(','));
     names.any(|name| name.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Seconds for which the peer keeps a resting connection, where it says so.
-pub(crate) fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
+/// The `timeout` parameter of `Keep-Alive`, in seconds, if present.
+pub(crate) fn keep_alive_timeout_seconds(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,12 +1,12 @@
-//! The edge: takes calls from callers, asks the ledger, chooses engines, forwards and relays.
+//! The edge proxy: accepts calls, admits them, selects engines, forwards requests and relays responses.
 //!
-//! How calls look on the wire stands behind the [`Dialect`] port. What becomes of a call is decided by
-//! [`sumacdrift_calls::CallMachine`], which engine serves it by [`sumacdrift_routing::EngineBook`], and whether a turn
-//! may run by the ledger; this crate does what they say.
+//! The wire format is behind the [`Dialect`] port. Retry decisions come from [`sumacdrift_calls::CallMachine`],
+//! engine selection from [`sumacdrift_routing::EngineBook`], and whether a turn may run from the ledger. This crate
+//! carries those decisions out.
 
 mod access;
-mod answers;
 mod attempt;
+mod buffered;
 mod call;
 mod clock;
 mod cold_permit;
@@ -15,26 +15,26 @@
 mod edge;
 mod engine_pool;
 mod engine_run;
-mod fleet_news;
 mod headers;
+mod idle_limit;
 mod listener;
 mod metrics;
-mod outlier_report;
-mod plain;
+mod outliers;
 mod regions;
 mod report;
-mod rest_limit;
+mod responses;
+mod route_durations;
 mod service_queues;
+mod state_exchange;
 mod stream;
 mod turn;
-mod usual_times;
 
-pub use answers::{EdgeBody, RelayError, problem_answer};
 pub use clock::Clock;
 pub use cold_permit::ColdTolerance;
 pub use dialect::{AnswerKind, BadCall, Dialect, EngineAttempt, KeyUse};
 pub use edge::{Edge, EdgeParts, EdgeSettings};
-pub use headers::forwardable;
+pub use headers::without_hop_by_hop;
+pub use idle_limit::{IdleLimit, Reset};
 pub use listener::{Listeners, StopTimes, serve_listeners};
 pub use metrics::EdgeMetrics;
-pub use rest_limit::{Reset, RestLimit};
+pub use responses::{EdgeBody, RelayError, problem_response};
--- a/crates/edge/src/listener.rs
+++ b/crates/edge/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening for callers and for the question whether this edge is ready, and a stop that cuts nothing.
+//! Listeners for callers and readiness probes, and graceful shutdown.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,31 +20,31 @@
 use crate::dialect::Dialect;
 use crate::edge::Edge;
 
-/// Pause after a failed accept, which running out of descriptors causes.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time for a head on the readiness address.
-const READY_HEADER_TIME: Duration = Duration::from_secs(10);
+/// Delay after a failed accept, typically caused by running out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout for request headers on the readiness address.
+const READINESS_HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Addresses that an edge listens on.
+/// Listening sockets of an edge.
+#[allow(missing_docs)]
 pub struct Listeners {
-    /// For callers.
     pub callers: TcpListener,
-    /// For the question whether the edge is ready.
+    /// For readiness probes.
     pub ready: TcpListener,
-    /// Path of that question.
+    /// Path of readiness probes; other paths get 404.
     pub ready_path: &'static str,
 }
 
-/// Times of a stop.
+/// Phases of a graceful shutdown.
 #[derive(Debug, Clone, Copy)]
 pub struct StopTimes {
-    /// How long callers are still accepted after the edge has said that it is not ready.
+    /// How long callers are still accepted after the edge reports that it is not ready.
     pub accept_for: Duration,
-    /// How long answers under way may take after that.
+    /// How long calls in flight may then take to finish.
     pub finish_within: Duration,
 }
 
-/// Serves until `stop` is cancelled, then lets everything under way finish. Returns whether it did.
+/// Serves until `stop` is cancelled, then drains. Returns whether all connections finished in time.
 pub async fn serve_listeners<D: Dialect>(
     edge: Arc<Edge<D>>,
     listeners: Listeners,
@@ -53,7 +53,7 @@
 ) -> bool {
     let close = CancellationToken::new();
     let tasks = TaskTracker::new();
-    let ready = serve_ready(Arc::clone(&edge), listeners.ready, listeners.ready_path);
+    let ready = serve_readiness(Arc::clone(&edge), listeners.ready, listeners.ready_path);
     let ready = tokio::spawn(ready);
     let accepting = accept_callers(&edge, &listeners.callers, &close, &tasks);
     tokio::select! {
@@ -86,35 +86,35 @@
                 serve_connection(edge, stream, close.clone(), tasks);
             }
             Ok(_) => {}
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve_ready<D: Dialect>(edge: Arc<Edge<D>>, listener: TcpListener, path: &'static str) {
+async fn serve_readiness<D: Dialect>(edge: Arc<Edge<D>>, listener: TcpListener, path: &'static str) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => answer_ready(Arc::clone(&edge), stream, path),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Ok((stream, _)) => serve_readiness_connection(Arc::clone(&edge), stream, path),
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-fn answer_ready<D: Dialect>(edge: Arc<Edge<D>>, stream: TcpStream, path: &'static str) {
+fn serve_readiness_connection<D: Dialect>(edge: Arc<Edge<D>>, stream: TcpStream, path: &'static str) {
     let service = service_fn(move |request: Request<Incoming>| {
         let status = match (request.uri().path() == path, edge.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         };
-        let mut answer = Response::new(Full::new(Bytes::new()));
-        *answer.status_mut() = status;
-        std::future::ready(Ok::<_, Infallible>(answer))
+        let mut response = Response::new(Full::new(Bytes::new()));
+        *response.status_mut() = status;
+        std::future::ready(Ok::<_, Infallible>(response))
     });
     tokio::spawn(
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(READY_HEADER_TIME)
+            .header_read_timeout(READINESS_HEADER_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service),
     );
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an edge.
+//! Counters, gauges and histograms of an edge.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -35,17 +35,17 @@
     pub(crate) outliers: Gauge,
     pub(crate) outlier_ejections: Counter,
     pub(crate) resumptions: Counter,
-    pub(crate) under_way: Gauge,
+    pub(crate) in_flight: Gauge,
     pub(crate) configuration: Gauge,
     pub(crate) ledger_seconds: Histogram,
     pub(crate) quota_seconds: Histogram,
     pub(crate) first_event_seconds: Histogram,
     pub(crate) stream_seconds: Histogram,
-    pub(crate) plain_seconds: Histogram,
+    pub(crate) buffered_seconds: Histogram,
     pub(crate) wait_seconds: Histogram,
-    pub(crate) waiting: Gauge,
+    pub(crate) queued: Gauge,
     given_up: Family<CodeLabel, Counter>,
-    no_room: Family<ReasonLabel, Counter>,
+    queue_rejections: Family<ReasonLabel, Counter>,
 }
 
 impl Default for EdgeMetrics {
@@ -64,110 +64,118 @@
             outliers: Gauge::default(),
             outlier_ejections: Counter::default(),
             resumptions: Counter::default(),
-            under_way: Gauge::default(),
+            in_flight: Gauge::default(),
             configuration: Gauge::default(),
             ledger_seconds: time_histogram(),
             quota_seconds: time_histogram(),
             first_event_seconds: time_histogram(),
             stream_seconds: time_histogram(),
-            plain_seconds: time_histogram(),
+            buffered_seconds: time_histogram(),
             wait_seconds: time_histogram(),
-            waiting: Gauge::default(),
+            queued: Gauge::default(),
             given_up: Family::default(),
-            no_room: Family::default(),
+            queue_rejections: Family::default(),
         }
     }
 }
 
 impl EdgeMetrics {
-    /// Makes the metrics known under their names.
+    /// Registers the metrics under their public names.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("sumacdrift_edge");
-        registry.register("calls", "Calls taken from callers", self.calls.clone());
-        registry.register("served", "Calls answered by an engine to the end", self.served.clone());
-        registry.register("events", "Events of streams given to callers", self.events.clone());
-        registry.register("failed_attempts", "Attempts that an engine failed", self.failed_attempts.clone());
+        registry.register("calls", "Calls received from callers", self.calls.clone());
+        registry.register("served", "Calls whose response an engine completed", self.served.clone());
+        registry.register("events", "Stream events forwarded to callers", self.events.clone());
+        registry.register("failed_attempts", "Attempts that failed", self.failed_attempts.clone());
         registry.register(
             "server_errors",
-            "Answers of engines with a status of 500 and above",
+            "Engine responses with a status of 500 or above",
             self.server_errors.clone(),
         );
         registry.register(
             "withheld",
-            "Calls that were not sent as their engine might not get them any more",
+            "Calls not sent because their engine could no longer receive them",
             self.withheld.clone(),
         );
         registry.register(
             "evacuated_zones",
-            "Zones whose engines get nothing new",
+            "Zones whose engines get no new calls",
             self.evacuated_zones.clone(),
         );
         registry.register(
             "outliers",
-            "Engines that are put aside as they failed too much, or are being brought back",
+            "Engines ejected as outliers or returning from ejection",
             self.outliers.clone(),
         );
+        registry.register("outlier_ejections", "Outlier ejections", self.outlier_ejections.clone());
+        registry.register("permits", "Permits granted for calls to cold engines", self.permits.clone());
         registry.register(
-            "outlier_ejections",
-            "How often an engine was put aside as an outlier",
-            self.outlier_ejections.clone(),
+            "permits_refused",
+            "Permits denied for calls to cold engines",
+            self.permits_refused.clone(),
+        );
+        registry.register("cold_engines", "Cold engines", self.cold_engines.clone());
+        registry.register("resumptions", "Streams resumed after a failure", self.resumptions.clone());
+        registry.register("under_way", "Calls in flight", self.in_flight.clone());
+        registry.register(
+            "configuration",
+            "Version of the configuration in force",
+            self.configuration.clone(),
         );
-        registry.register("permits", "Permits for calls to cold engines", self.permits.clone());
-        registry.register("permits_refused", "Permits that were not given", self.permits_refused.clone());
-        registry.register("cold_engines", "Engines that are cold", self.cold_engines.clone());
-        registry.register("resumptions", "Streams taken up again", self.resumptions.clone());
-        registry.register("under_way", "Calls under way", self.under_way.clone());
-        registry.register("configuration", "Version of the configuration", self.configuration.clone());
         let times = [
-            ("ledger_seconds", "From a turn's begin to the ledger's answer", &self.ledger_seconds),
-            ("quota_seconds", "From a call of a tenant with a quota to its verdict", &self.quota_seconds),
-            ("first_event_seconds", "From a stream's call to its first event", &self.first_event_seconds),
-            ("stream_seconds", "From a stream's call to its end", &self.stream_seconds),
-            ("wait_seconds", "How long calls waited for room before they were let in", &self.wait_seconds),
-            ("plain_seconds", "From a plain call to its answer", &self.plain_seconds),
+            ("ledger_seconds", "Time to begin a turn in the ledger", &self.ledger_seconds),
+            ("quota_seconds", "Time to check a tenant's quota", &self.quota_seconds),
+            (
+                "first_event_seconds",
+                "Time from accepting a streamed call to its first event",
+                &self.first_event_seconds,
+            ),
+            ("stream_seconds", "Time from accepting a streamed call to its end", &self.stream_seconds),
+            ("wait_seconds", "Time in the queue of dispatched calls", &self.wait_seconds),
+            ("plain_seconds", "Time from accepting a buffered call to its response", &self.buffered_seconds),
         ];
         for (name, help, histogram) in times {
             registry.register(name, help, histogram.clone());
         }
-        registry.register("waiting", "Calls that wait for room", self.waiting.clone());
-        registry.register("no_room", "Calls refused for want of room, by reason", self.no_room.clone());
+        registry.register("waiting", "Calls waiting in queues", self.queued.clone());
+        registry.register("no_room", "Calls rejected by queues, by reason", self.queue_rejections.clone());
         registry.register(
             "given_up",
-            "Calls refused, failed or broken off, by result code",
+            "Calls rejected, failed or aborted, by result code",
             self.given_up.clone(),
         );
     }
 
-    /// Calls taken so far.
+    /// Calls received since the start.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// Calls that wait for room now.
+    /// Calls waiting in queues now.
     pub fn calls_waiting(&self) -> i64 {
-        self.waiting.get()
+        self.queued.get()
     }
 
-    pub(crate) fn refused_for_room(&self, reason: RefusalReason) {
-        self.no_room.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
+    pub(crate) fn record_rejection(&self, reason: RefusalReason) {
+        self.queue_rejections.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
-    pub(crate) fn gave_up(&self, code: ResultCode) {
+    pub(crate) fn record_given_up(&self, code: ResultCode) {
         self.given_up.get_or_create(&CodeLabel { code: code.number() }).inc();
     }
 }
 
-/// Counts a call as under way until it is dropped.
-pub(crate) struct UnderWay(Gauge);
+/// Increments a gauge until it is dropped.
+pub(crate) struct GaugeGuard(Gauge);
 
-impl UnderWay {
-    pub(crate) fn begin(gauge: &Gauge) -> Self {
+impl GaugeGuard {
+    pub(crate) fn increment(gauge: &Gauge) -> Self {
         gauge.inc();
         Self(gauge.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
--- a/crates/edge/src/outlier_report.rs
+++ b/crates/edge/src/outliers.rs
@@ -1,4 +1,4 @@
-//! Engines that are put aside as outliers and brought back: one line for each change.
+//! Outlier ejection, with one log line for each change.
 
 use slog::info;
 use sumacdrift_routing::{OutlierChange, OutlierChangeKind};
@@ -8,9 +8,9 @@
 use crate::edge::Edge;
 
 impl<D: Dialect> Edge<D> {
-    /// Puts engines aside that are outliers by now, and brings back those whose time is over.
-    pub(crate) fn judge_outliers(&self, now: Timestamp) {
-        let changes = self.book().judge_outliers(now);
+    /// Ejects engines that have become outliers and readmits those whose ejection has expired.
+    pub(crate) fn update_outliers(&self, now: Timestamp) {
+        let changes = self.engines().judge_outliers(now);
         for change in &changes {
             self.report_outlier(change);
         }
@@ -25,7 +25,7 @@
             OutlierChangeKind::BroughtBack => ("engine_brought_back", None),
             OutlierChangeKind::Released => ("engine_released", None),
         };
-        info!(self.logger, "engine judged by its failures"; "event" => event, "engine" => %change.engine,
+        info!(self.logger, "outlier state of an engine changed"; "event" => event, "engine" => %change.engine,
             "failed" => change.calls.failed, "ended" => change.calls.ended,
             "rate" => change.calls.failure_rate(), "rest_rate" => change.rest_rate, "pause_ms" => pause_millis,
             "others_age_ms" => change.news_age.map(|age| age.as_millis() as u64));
--- a/crates/edge/src/regions.rs
+++ b/crates/edge/src/regions.rs
@@ -1,4 +1,4 @@
-//! Calls that are bound to regions: where they may be served and kept.
+//! Region constraints: where a call may be served and its turn retained.
 
 use slog::warn;
 use sumacdrift_calls::CallHead;
@@ -11,9 +11,8 @@
 use crate::edge::Edge;
 
 impl<D: Dialect> Edge<D> {
-    /// Regions in which a call may be served: those that its route and its tenant both allow. Where that can't be, the code
-    /// that says why; the call has not run then.
-    pub(crate) fn regions_of(
+    /// The regions that both the route and the tenant allow. On an error the call has not run.
+    pub(crate) fn allowed_regions(
         &self,
         head: &CallHead,
         caller: &Caller,
@@ -24,25 +23,25 @@
             Some(tenant) => route.regions.and(&tenant.regions),
             None => route.regions.clone(),
         };
-        let refused = if regions.is_empty() {
+        let denied = if regions.is_empty() {
             Some(ResultCode::NoCommonRegion)
-        } else if !self.may_keep(head, caller, selected, &regions) {
+        } else if !self.can_retain(head, caller, selected, &regions) {
             Some(ResultCode::NotKeptInRegion)
         } else {
             None
         };
-        let Some(code) = refused else { return Ok(regions) };
+        let Some(code) = denied else { return Ok(regions) };
         let tenant = caller.tenant.as_ref();
-        warn!(self.logger, "a call can't be served where it may be"; "event" => "region_refused",
+        warn!(self.logger, "call can't be served in an allowed region"; "event" => "region_refused",
             "call" => &head.id, "code" => code.number(), "route" => &*route.name, "version" => selected.version,
             "tenant" => tenant.map(|tenant| &*tenant.name), "route_regions" => %route.regions,
             "tenant_regions" => tenant.map(|tenant| tenant.regions.to_string()));
         Err(code)
     }
 
-    /// Whether what a turn says stays in its regions, and in the caller's, where it is kept: its program's ledger group
-    /// has no member elsewhere.
-    fn may_keep(
+    /// Whether the turn, if it is retained, stays within the allowed regions and the edge's own: no member of its
+    /// program's ledger group is elsewhere.
+    fn can_retain(
         &self,
         head: &CallHead,
         caller: &Caller,
@@ -55,10 +54,10 @@
         }
         let name = caller.name_in_ledger(&program.program);
         let map = self.ledger.map();
-        map.group_of(&name).is_some_and(|group| self.all_stand_in(group, regions))
+        map.group_of(&name).is_some_and(|group| self.is_within(group, regions))
     }
 
-    fn all_stand_in(&self, group: &Group, regions: &AllowedRegions) -> bool {
+    fn is_within(&self, group: &Group, regions: &AllowedRegions) -> bool {
         let location = &self.settings.location;
         let own = location.places.region_of(&location.zone);
         group.members.iter().all(|member| {
--- a/crates/edge/src/report.rs
+++ b/crates/edge/src/report.rs
@@ -1,4 +1,4 @@
-//! One line for each decision about a call.
+//! One log line for each decision about a call.
 
 use slog::info;
 use sumacdrift_calls::{CallMachine, Failure, Next};
@@ -9,7 +9,6 @@
 use crate::dialect::Dialect;
 
 impl<D: Dialect> CallContext<D> {
-    /// An attempt failed, and this is what follows.
     pub(crate) fn report_failure(&self, placed: &Placed, failure: Failure, next: &Next) {
         self.edge.metrics.failed_attempts.inc();
         info!(self.edge.logger, "attempt failed"; "event" => "attempt_failed", "call" => &self.head.id,
@@ -18,11 +17,11 @@
             "age_ms" => self.age_millis());
     }
 
-    /// The call was answered by an engine to its end.
+    /// Logs a call whose response an engine completed.
     pub(crate) fn report_served(&self, machine: &CallMachine, status: u16, placed: &Placed) {
         self.edge.metrics.served.inc();
         let program = self.head.program.as_ref().map_or("", |program| &program.program);
-        info!(self.edge.logger, "served"; "event" => "served", "call" => &self.head.id, "engine" => %placed.engine,
+        info!(self.edge.logger, "call served"; "event" => "served", "call" => &self.head.id, "engine" => %placed.engine,
             "status" => status, "events" => machine.events(), "misses" => machine.misses(),
             "age_ms" => self.age_millis(), "version" => self.selected.version, "program" => program,
             "route" => &*self.selected.route.name, "expected_ms" => placed.estimate.own_millis as u64,
@@ -31,10 +30,10 @@
             "others_age_ms" => placed.others_age.map(|age| age.as_millis() as u64));
     }
 
-    /// The call was refused, failed or broken off.
-    pub(crate) fn report_given_up(&self, machine: &CallMachine, what: &str, code: ResultCode) {
-        self.edge.metrics.gave_up(code);
-        info!(self.edge.logger, "call given up"; "event" => "given_up", "call" => &self.head.id, "what" => what,
+    /// Logs a call that was rejected, failed or aborted, as `outcome` says.
+    pub(crate) fn report_given_up(&self, machine: &CallMachine, outcome: &str, code: ResultCode) {
+        self.edge.metrics.record_given_up(code);
+        info!(self.edge.logger, "call rejected, failed or aborted"; "event" => "given_up", "call" => &self.head.id, "what" => outcome,
             "code" => code.number(), "title" => code.title(), "runs" => machine.runs(),
             "misses" => machine.misses(), "events" => machine.events(), "age_ms" => self.age_millis(),
             "route" => &*self.selected.route.name, "service" => &*self.selected.service.name,
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the edge gives itself.
+//! Responses that the edge generates itself.
 
 use std::time::Duration;
 
@@ -9,21 +9,20 @@
 use http_body_util::{BodyExt, Full};
 use sumacdrift_types::{Ran, ResultCode};
 
-/// A stream was broken off; the caller's connection ends without the stream's end.
+/// A response stream was aborted; the caller's connection closes before the end of the stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was broken off: {0}")]
+#[error("response aborted: {0}")]
 pub struct RelayError(pub ResultCode);
 
-/// The body of an answer.
+/// Body of a response to a caller.
 pub type EdgeBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// A body that is there as a whole.
-pub(crate) fn whole_body(bytes: Bytes) -> EdgeBody {
+pub(crate) fn full_body(bytes: Bytes) -> EdgeBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a numbered result code.
-pub fn problem_answer(
+/// A problem response (`application/problem+json`) with a numbered result code.
+pub fn problem_response(
     status: StatusCode,
     code: ResultCode,
     ran: Ran,
@@ -35,7 +34,7 @@
         Ran::Unknown => "unknown",
     };
     let text = format!("{{\"code\":{},\"title\":\"{}\",\"ran\":\"{ran}\"}}\n", code.number(), code.title());
-    let mut answer = Response::new(whole_body(Bytes::from(text)));
+    let mut answer = Response::new(full_body(Bytes::from(text)));
     *answer.status_mut() = status;
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
--- a/crates/edge/src/service_queues.rs
+++ b/crates/edge/src/service_queues.rs
@@ -1,5 +1,6 @@
-//! The queues of this node before the engines of services: calls wait here for their turn, see
-//! [`sumacdrift_scheduling::ServiceQueue`], which decides. This carries out what it says, and tells it of room and demand.
+//! Per-service queues of this node in front of the engines. [`sumacdrift_scheduling::ServiceQueue`] decides when a
+//! queued call is dispatched or rejected; this module provides it with capacity and demand, and delivers its
+//! decisions.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,34 +21,34 @@
 use crate::access::Caller;
 use crate::dialect::Dialect;
 use crate::edge::Edge;
-use crate::metrics::UnderWay;
+use crate::metrics::GaugeGuard;
 
-/// Share of their slots that engines which stream hold besides, so that none is idle while the next call is on its way.
+/// Calls that streaming engines hold in addition to their slots, as a share of them, so that none is idle until the
+/// next call arrives.
 const SHORT_QUEUE_SHARE: f64 = 0.25;
-/// Least time between two looks at the room when calls arrive.
-const LOOK_AT_ROOM_EVERY: Duration = Duration::from_millis(20);
-/// How often calls that wait are looked at while nothing else happens.
-const TICK: Duration = Duration::from_millis(25);
-/// Waits that are logged: shorter ones decide nothing.
-const LOGGED_WAIT: Duration = Duration::from_millis(5);
-/// Route priorities told apart within one tenant priority; larger ones count as the last.
+/// Minimum time between capacity refreshes on arrival of calls.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a non-empty queue is refreshed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(25);
+/// Minimum wait of a dispatched call that is logged.
+const MIN_LOGGED_WAIT: Duration = Duration::from_millis(5);
+/// Distinct route priorities within one tenant priority; larger values are clamped.
 const ROUTE_RANKS: PriorityRank = 256;
-/// How long calls are believed to take at an engine before some were seen.
-const STARTING_TIME: Duration = Duration::from_millis(50);
+/// Assumed duration of a call on a route without observations.
+const DEFAULT_CALL_TIME: Duration = Duration::from_millis(50);
 
-/// The queues of all services.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceQueues {
     state: Mutex<QueuesState>,
-    /// Whether the configuration tells callers apart by rank.
+    /// Whether the configuration assigns priorities. Calls are not queued otherwise.
     has_ranks: AtomicBool,
 }
 
 #[derive(Debug, Default)]
 struct QueuesState {
     services: HashMap<Arc<str>, QueuedService>,
-    /// Demand of other nodes by service key, as told last.
-    others: HashMap<u32, Vec<RankDemand>>,
+    /// Latest demand reported by other nodes, by service key.
+    peer_demand: HashMap<u32, Vec<RankDemand>>,
     returning: ReturningPrograms,
     last_ticket: u64,
 }
@@ -56,10 +57,10 @@
 struct QueuedService {
     queue: ServiceQueue,
     waiters: HashMap<QueueTicket, oneshot::Sender<ServiceQueueAction>>,
-    /// Share of its slots that an engine holds besides.
+    /// See [`SHORT_QUEUE_SHARE`]; 0 for services that don't stream.
     short_queue_share: f64,
-    looked_at: Option<Timestamp>,
-    is_ticking: bool,
+    refreshed_at: Option<Timestamp>,
+    is_refreshing: bool,
 }
 
 impl QueuedService {
@@ -70,13 +71,13 @@
             queue: ServiceQueue::new(settings),
             waiters: HashMap::new(),
             short_queue_share,
-            looked_at: None,
-            is_ticking: false,
+            refreshed_at: None,
+            is_refreshing: false,
         }
     }
 
-    /// Tells calls what was decided on them.
-    fn carry_out(&mut self, actions: Vec<ServiceQueueAction>) {
+    /// Delivers decisions to the waiting calls.
+    fn deliver(&mut self, actions: Vec<ServiceQueueAction>) {
         for action in actions {
             let ticket = match action {
                 ServiceQueueAction::LetIn { ticket, .. } | ServiceQueueAction::Refuse { ticket, .. } => {
@@ -84,52 +85,53 @@
                 }
             };
             if let Some(waiter) = self.waiters.remove(&ticket) {
-                // A call whose caller has left ends its ticket itself.
+                // The receiver is gone if the caller disconnected; dropping its slot removes the call from the
+                // queue.
                 let _ = waiter.send(action);
             }
         }
     }
 
-    fn look_at(&mut self, room: EngineRoom, mut others: Vec<RankDemand>, now: Timestamp) {
-        self.looked_at = Some(now);
-        for demand in &mut others {
-            demand.running *= room.others_share;
-            demand.waiting *= room.others_share;
+    fn update_capacity(&mut self, capacity: EngineRoom, mut peer_demand: Vec<RankDemand>, now: Timestamp) {
+        self.refreshed_at = Some(now);
+        for demand in &mut peer_demand {
+            demand.running *= capacity.others_share;
+            demand.waiting *= capacity.others_share;
         }
-        let slots = room.slots as f64;
-        let told: f64 = others.iter().map(|demand| demand.running).sum();
-        let room = (room.slots > 0).then_some(ServiceRoom {
+        let slots = capacity.slots as f64;
+        let reported: f64 = peer_demand.iter().map(|demand| demand.running).sum();
+        let capacity = (capacity.slots > 0).then_some(ServiceRoom {
             slots,
             short_queue: slots * self.short_queue_share,
-            unranked: (room.others_running - told).max(0.0),
+            unranked: (capacity.others_running - reported).max(0.0),
         });
-        let actions = self.queue.room_changed(room, others, now);
-        self.carry_out(actions);
+        let actions = self.queue.room_changed(capacity, peer_demand, now);
+        self.deliver(actions);
     }
 
-    fn is_due(&self, now: Timestamp) -> bool {
-        self.looked_at.is_none_or(|looked_at| now.since(looked_at) >= LOOK_AT_ROOM_EVERY)
+    fn is_stale(&self, now: Timestamp) -> bool {
+        self.refreshed_at.is_none_or(|refreshed_at| now.since(refreshed_at) >= MIN_REFRESH_INTERVAL)
     }
 }
 
 impl ServiceQueues {
-    /// A configuration came in force.
-    pub(crate) fn configured(&self, has_ranks: bool) {
+    /// Applies a new configuration.
+    pub(crate) fn apply_configuration(&self, has_ranks: bool) {
         self.has_ranks.store(has_ranks, Ordering::Release);
     }
 
-    /// This node's calls, for other nodes.
+    /// Demand of this node, to be reported to others.
     pub(crate) fn demands(&self, now: Timestamp) -> Vec<ServiceDemand> {
         if !self.has_ranks.load(Ordering::Acquire) {
             return Vec::new();
         }
         let state = self.state();
-        let of_service = |(name, service): (&Arc<str>, &QueuedService)| {
+        let service_demand = |(name, service): (&Arc<str>, &QueuedService)| {
             let key = service_key(name);
             let demand = service.queue.demand(now);
-            demand.into_iter().map(move |demand| told_demand(key, &demand)).collect::<Vec<_>>()
+            demand.into_iter().map(move |demand| demand_report(key, &demand)).collect::<Vec<_>>()
         };
-        state.services.iter().flat_map(of_service).collect()
+        state.services.iter().flat_map(service_demand).collect()
     }
 
     fn state(&self) -> MutexGuard<'_, QueuesState> {
@@ -137,29 +139,29 @@
     }
 }
 
-fn told_demand(service: u32, demand: &RankDemand) -> ServiceDemand {
+fn demand_report(service: u32, demand: &RankDemand) -> ServiceDemand {
     let (running, waiting) = (demand.running as u32, demand.waiting as u32);
     ServiceDemand { service, rank: demand.rank, running, waiting }
 }
 
-/// A call that wants to use a service.
-pub(crate) struct RoomRequest<'a> {
+/// A call to enqueue.
+pub(crate) struct EnqueueRequest<'a> {
     pub(crate) head: &'a CallHead,
     pub(crate) caller: &'a Caller,
     pub(crate) selected: &'a Selected,
     pub(crate) machine: &'a CallMachine,
     pub(crate) accepted: Timestamp,
     pub(crate) bytes: usize,
-    /// Whether earlier calls of its program were answered.
-    pub(crate) is_under_way: bool,
+    /// Whether earlier calls of its program have been served.
+    pub(crate) has_started: bool,
 }
 
-impl RoomRequest<'_> {
-    /// Rank of the tenant, then of the route.
+impl EnqueueRequest<'_> {
+    /// Priority of the tenant, then of the route.
     fn rank(&self) -> PriorityRank {
-        let of_route = self.selected.route.rules.priority.min(ROUTE_RANKS - 1);
-        let of_tenant = self.caller.tenant.as_ref().and_then(|tenant| tenant.priority);
-        of_tenant.unwrap_or(of_route).saturating_mul(ROUTE_RANKS).saturating_add(of_route)
+        let route_priority = self.selected.route.rules.priority.min(ROUTE_RANKS - 1);
+        let tenant_priority = self.caller.tenant.as_ref().and_then(|tenant| tenant.priority);
+        tenant_priority.unwrap_or(route_priority).saturating_mul(ROUTE_RANKS).saturating_add(route_priority)
     }
 
     fn program(&self) -> Option<u64> {
@@ -168,24 +170,24 @@
     }
 }
 
-/// A call that may use a service's engines; its place is free again when this is dropped.
-pub(crate) struct RoomHeld<D: Dialect> {
+/// A call's place in its service's queue, and then its slot at the engines. Dropping it frees either.
+pub(crate) struct QueueSlot<D: Dialect> {
     edge: Arc<Edge<D>>,
     service: Arc<str>,
     ticket: QueueTicket,
-    /// How long it waited.
+    /// Time spent in the queue.
     pub(crate) waited: Duration,
     was_served: AtomicBool,
 }
 
-impl<D: Dialect> RoomHeld<D> {
-    /// An engine served the call.
-    pub(crate) fn note_served(&self) {
+impl<D: Dialect> QueueSlot<D> {
+    /// Marks the call as served. Only served calls count in the queue's estimate of call durations.
+    pub(crate) fn mark_served(&self) {
         self.was_served.store(true, Ordering::Relaxed);
     }
 
-    /// When the caller is to come back of a call that no engine took.
-    pub(crate) fn return_time(&self) -> Option<Duration> {
+    /// When the caller should retry a call that no engine accepted.
+    pub(crate) fn retry_delay(&self) -> Option<Duration> {
         let now = self.edge.clock.now();
         let mut state = self.edge.queues.state();
         let service = state.services.get_mut(&self.service)?;
@@ -193,7 +195,7 @@
     }
 }
 
-impl<D: Dialect> Drop for RoomHeld<D> {
+impl<D: Dialect> Drop for QueueSlot<D> {
     fn drop(&mut self) {
         let now = self.edge.clock.now();
         let mut state = self.edge.queues.state();
@@ -203,203 +205,202 @@
             true => service.queue.ended(self.ticket, now),
             false => service.queue.gave_up(self.ticket, now),
         };
-        service.carry_out(actions);
+        service.deliver(actions);
     }
 }
 
 impl<D: Dialect> Edge<D> {
-    /// Waits until there is room for a call at its service. `None` where calls aren't put in order.
-    pub(crate) async fn wait_for_room(
+    /// Waits until the call is dispatched or rejected. `None` if calls are not queued.
+    pub(crate) async fn wait_for_slot(
         self: &Arc<Self>,
-        request: RoomRequest<'_>,
-    ) -> Result<Option<RoomHeld<D>>, Next> {
+        request: EnqueueRequest<'_>,
+    ) -> Result<Option<QueueSlot<D>>, Next> {
         let is_on = self.settings.off.allows(Mechanism::WaitingQueue);
         if !is_on || !self.queues.has_ranks.load(Ordering::Acquire) {
             return Ok(None);
         }
-        let (mut held, verdict) = self.arrive(&request);
-        let waiting = UnderWay::begin(&self.metrics.waiting);
-        let action = verdict.await;
+        let (mut slot, decision) = self.enqueue(&request);
+        let waiting = GaugeGuard::increment(&self.metrics.queued);
+        let action = decision.await;
         drop(waiting);
         match action {
             Ok(ServiceQueueAction::LetIn { waited, .. }) => {
-                held.waited = waited;
-                self.report_let_in(&request, waited);
-                Ok(Some(held))
+                slot.waited = waited;
+                self.report_dispatched(&request, waited);
+                Ok(Some(slot))
             }
             Ok(ServiceQueueAction::Refuse { reason, waited, expected_wait, retry_after, .. }) => {
-                if let Some(program) = request.program().filter(|_| !request.is_under_way) {
+                if let Some(program) = request.program().filter(|_| !request.has_started) {
                     self.queues.state().returning.told(program, retry_after, self.clock.now());
                 }
-                self.report_no_room(&request, reason, waited, expected_wait, retry_after);
+                self.report_rejected(&request, reason, waited, expected_wait, retry_after);
                 Err(request.machine.no_room(retry_after))
             }
-            // Nobody decides any more: the call goes on as if there were no queue.
+            // The queue is gone: the call continues as if there were none.
             Err(_) => Ok(None),
         }
     }
 
-    /// Puts a call in its queue.
-    fn arrive(
+    /// Adds a call to its service's queue.
+    fn enqueue(
         self: &Arc<Self>,
-        request: &RoomRequest<'_>,
-    ) -> (RoomHeld<D>, oneshot::Receiver<ServiceQueueAction>) {
+        request: &EnqueueRequest<'_>,
+    ) -> (QueueSlot<D>, oneshot::Receiver<ServiceQueueAction>) {
         let now = self.clock.now();
         let name = &request.selected.service.name;
-        let (sender, verdict) = oneshot::channel();
+        let (sender, decision) = oneshot::channel();
         let mut state = self.queues.state();
         state.last_ticket += 1;
         let ticket = QueueTicket(state.last_ticket);
         let is_returning =
             request.program().is_some_and(|program| state.returning.is_returning(program, now));
-        let stage = match (request.is_under_way, is_returning) {
+        let stage = match (request.has_started, is_returning) {
             (true, _) => ProgramStage::UnderWay,
             (false, true) => ProgramStage::Returning,
             (false, false) => ProgramStage::New,
         };
         let call = self.queued_call(request, stage);
-        self.look_at_room(&mut state, name, is_stream(request), now);
+        self.refresh_if_stale(&mut state, name, is_stream(request), now);
         if let Some(service) = state.services.get_mut(name) {
             service.waiters.insert(ticket, sender);
             let actions = service.queue.arrived(ticket, call, now);
-            service.carry_out(actions);
-            if service.queue.waiting() > 0 && !service.is_ticking {
-                service.is_ticking = true;
-                tokio::spawn(tick(Arc::downgrade(self), Arc::clone(name)));
+            service.deliver(actions);
+            if service.queue.waiting() > 0 && !service.is_refreshing {
+                service.is_refreshing = true;
+                tokio::spawn(refresh_until_empty(Arc::downgrade(self), Arc::clone(name)));
             }
         }
         let (edge, service) = (Arc::clone(self), Arc::clone(name));
         let was_served = AtomicBool::new(false);
-        let held = RoomHeld { edge, service, ticket, waited: Duration::ZERO, was_served };
-        (held, verdict)
+        let slot = QueueSlot { edge, service, ticket, waited: Duration::ZERO, was_served };
+        (slot, decision)
     }
 
-    fn queued_call(&self, request: &RoomRequest<'_>, stage: ProgramStage) -> QueuedCall {
+    fn queued_call(&self, request: &EnqueueRequest<'_>, stage: ProgramStage) -> QueuedCall {
         let program = request.head.program.as_ref();
         let time_left = program.and_then(|program| program.time_left);
-        let usual = self.usual_times().of(&request.selected.route.name);
+        let typical = self.route_durations().average(&request.selected.route.name);
         QueuedCall {
             rank: request.rank(),
             stage,
             program_end: time_left.map(|left| request.accepted + left),
             deadline: request.machine.deadline(),
-            usual_time: usual.unwrap_or(STARTING_TIME),
+            usual_time: typical.unwrap_or(DEFAULT_CALL_TIME),
             bytes: request.bytes,
         }
     }
 
-    /// Looks at a service's room anew where it was looked at too long ago.
-    fn look_at_room(&self, state: &mut QueuesState, name: &Arc<str>, is_stream: bool, now: Timestamp) {
+    /// Refreshes a service's capacity if it is stale.
+    fn refresh_if_stale(&self, state: &mut QueuesState, name: &Arc<str>, is_stream: bool, now: Timestamp) {
         let short_queue_share = if is_stream { SHORT_QUEUE_SHARE } else { 0.0 };
         let service = state.services.entry(Arc::clone(name));
         let service = service.or_insert_with(|| {
             let node_number = stable_hash(&[self.settings.node.as_bytes(), name.as_bytes()]);
             QueuedService::new(short_queue_share, node_number)
         });
-        if service.is_due(now) {
-            self.refresh(service, name, &state.others, now);
+        if service.is_stale(now) {
+            self.refresh(service, name, &state.peer_demand, now);
         }
     }
 
-    /// Tells a queue of the room and of others' demand.
+    /// Updates a queue with the current capacity and the demand of other nodes.
     fn refresh(
         &self,
         service: &mut QueuedService,
         name: &str,
-        others: &HashMap<u32, Vec<RankDemand>>,
+        peer_demand: &HashMap<u32, Vec<RankDemand>>,
         now: Timestamp,
     ) {
-        let room = self.book().room(name, now);
-        let others = others.get(&service_key(name)).cloned().unwrap_or_default();
-        service.look_at(room, others, now);
+        let capacity = self.engines().room(name, now);
+        let peer_demand = peer_demand.get(&service_key(name)).cloned().unwrap_or_default();
+        service.update_capacity(capacity, peer_demand, now);
     }
 
-    /// Other nodes told of their calls.
-    pub(crate) fn others_demand(&self, demands: &[ServiceDemand]) {
+    /// Replaces the demand reported by other nodes.
+    pub(crate) fn update_peer_demand(&self, demands: &[ServiceDemand]) {
         let now = self.clock.now();
-        let mut others: HashMap<u32, Vec<RankDemand>> = HashMap::new();
+        let mut peer_demand: HashMap<u32, Vec<RankDemand>> = HashMap::new();
         for demand in demands {
             let (running, waiting) = (f64::from(demand.running), f64::from(demand.waiting));
-            let demand_of_rank = RankDemand { rank: demand.rank, running, waiting };
-            others.entry(demand.service).or_default().push(demand_of_rank);
+            let rank_demand = RankDemand { rank: demand.rank, running, waiting };
+            peer_demand.entry(demand.service).or_default().push(rank_demand);
         }
         let mut state = self.queues.state();
         for (name, service) in &mut state.services {
-            self.refresh(service, name, &others, now);
+            self.refresh(service, name, &peer_demand, now);
         }
-        state.others = others;
+        state.peer_demand = peer_demand;
     }
 
-    fn report_let_in(&self, request: &RoomRequest<'_>, waited: Duration) {
+    fn report_dispatched(&self, request: &EnqueueRequest<'_>, waited: Duration) {
         self.metrics.wait_seconds.observe(waited.as_secs_f64());
-        if waited >= LOGGED_WAIT {
-            let seen = self.queue_seen(&request.selected.service.name);
-            info!(self.logger, "let in"; "event" => "let_in", "call" => &request.head.id,
+        if waited >= MIN_LOGGED_WAIT {
+            let snapshot = self.queue_snapshot(&request.selected.service.name);
+            info!(self.logger, "call dispatched from the queue"; "event" => "let_in", "call" => &request.head.id,
                 "service" => &*request.selected.service.name, "rank" => request.rank(),
-                "is_under_way" => request.is_under_way, "waited_ms" => waited.as_millis() as u64,
-                "waiting" => seen.waiting, "running" => seen.running, "slots" => seen.slots,
-                "others_age_ms" => seen.others_age_millis);
+                "is_under_way" => request.has_started, "waited_ms" => waited.as_millis() as u64,
+                "waiting" => snapshot.waiting, "running" => snapshot.running, "slots" => snapshot.slots,
+                "others_age_ms" => snapshot.peer_age_millis);
         }
     }
 
-    fn report_no_room(
+    fn report_rejected(
         &self,
-        request: &RoomRequest<'_>,
+        request: &EnqueueRequest<'_>,
         reason: RefusalReason,
         waited: Duration,
         expected_wait: Duration,
         retry_after: Duration,
     ) {
-        self.metrics.refused_for_room(reason);
-        let seen = self.queue_seen(&request.selected.service.name);
-        info!(self.logger, "no room"; "event" => "no_room", "call" => &request.head.id,
+        self.metrics.record_rejection(reason);
+        let snapshot = self.queue_snapshot(&request.selected.service.name);
+        info!(self.logger, "call rejected by the queue"; "event" => "no_room", "call" => &request.head.id,
             "service" => &*request.selected.service.name, "rank" => request.rank(),
-            "reason" => reason.as_str(), "is_under_way" => request.is_under_way,
+            "reason" => reason.as_str(), "is_under_way" => request.has_started,
             "waited_ms" => waited.as_millis() as u64, "expected_wait_ms" => expected_wait.as_millis() as u64,
             "retry_after_ms" => retry_after.as_millis() as u64,
-            "waiting" => seen.waiting, "running" => seen.running, "slots" => seen.slots,
-            "others_age_ms" => seen.others_age_millis);
+            "waiting" => snapshot.waiting, "running" => snapshot.running, "slots" => snapshot.slots,
+            "others_age_ms" => snapshot.peer_age_millis);
     }
 
-    /// A queue as decisions saw it, for the log.
-    fn queue_seen(&self, name: &Arc<str>) -> QueueSeen {
-        let age = self.book().others_age(self.clock.now());
+    /// State of a queue, for the log.
+    fn queue_snapshot(&self, name: &Arc<str>) -> QueueSnapshot {
+        let age = self.engines().others_age(self.clock.now());
         let state = self.queues.state();
         let queue = state.services.get(name).map(|service| &service.queue);
-        QueueSeen {
+        QueueSnapshot {
             waiting: queue.map_or(0, ServiceQueue::waiting),
             running: queue.map_or(0, ServiceQueue::running),
-            slots: queue.and_then(ServiceQueue::room).map_or(0, |room| room.slots as usize),
-            others_age_millis: age.map(|age| age.as_millis() as u64),
+            slots: queue.and_then(ServiceQueue::room).map_or(0, |capacity| capacity.slots as usize),
+            peer_age_millis: age.map(|age| age.as_millis() as u64),
         }
     }
 }
 
-/// What a log line tells of a queue.
-struct QueueSeen {
+struct QueueSnapshot {
     waiting: usize,
     running: usize,
     slots: usize,
-    others_age_millis: Option<u64>,
+    peer_age_millis: Option<u64>,
 }
 
-fn is_stream(request: &RoomRequest<'_>) -> bool {
+fn is_stream(request: &EnqueueRequest<'_>) -> bool {
     request.selected.route.rules.kind.is_stream()
 }
 
-/// Looks at the calls that wait for a service for as long as there are any.
-async fn tick<D: Dialect>(edge: Weak<Edge<D>>, name: Arc<str>) {
+/// Refreshes a service's queue at intervals until it is empty.
+async fn refresh_until_empty<D: Dialect>(edge: Weak<Edge<D>>, name: Arc<str>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
         let Some(edge) = edge.upgrade() else { return };
         let now = edge.clock.now();
         let mut state = edge.queues.state();
-        let QueuesState { services, others, .. } = &mut *state;
+        let QueuesState { services, peer_demand, .. } = &mut *state;
         let Some(service) = services.get_mut(&name) else { return };
         if service.queue.waiting() == 0 {
-            service.is_ticking = false;
+            service.is_refreshing = false;
             return;
         }
-        edge.refresh(service, &name, others, now);
+        edge.refresh(service, &name, peer_demand, now);
     }
 }
--- /dev/null
+++ b/crates/edge/src/state_exchange.rs
@@ -0,0 +1,160 @@
+//! Exchange of load and prompt-cache state between edges, piggybacked on requests to the ledger's replicas.
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, PoisonError, Weak};
+use std::time::Duration;
+
+use bytes::Bytes;
+use prost::Message;
+use sumacdrift_calls::{CallHead, EngineId};
+use sumacdrift_fleet_view::{News, PartHeld, View, engine_key, part_key};
+use sumacdrift_routing::PartNeed;
+use sumacdrift_storage::ViewSink;
+use sumacdrift_types::Timestamp;
+
+use crate::dialect::Dialect;
+use crate::edge::Edge;
+
+/// Minimum interval between load reports, and its increase per engine, which bounds the total report traffic of all
+/// edges when there are many engines.
+const REPORT_INTERVAL: Duration = Duration::from_millis(20);
+const REPORT_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(400);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between requests for the addresses of nodes that relay ledger requests.
+const RELAY_QUERY_INTERVAL: Duration = Duration::from_millis(1000);
+/// Number of trailing prompt parts that are reported and asked about; earlier ones don't matter to other edges.
+const MAX_PARTS: usize = 8;
+
+/// When the edge last sent a load report and last asked for relays.
+#[derive(Debug, Default)]
+pub(crate) struct ExchangeSchedule {
+    loads: Mutex<Option<Timestamp>>,
+    relays: Mutex<Option<Timestamp>>,
+}
+
+impl ExchangeSchedule {
+    /// Whether a load report is due; if so, records it as sent.
+    fn is_report_due(&self, engines: usize, now: Timestamp) -> bool {
+        let engines = u32::try_from(engines).unwrap_or(u32::MAX);
+        let interval = REPORT_INTERVAL + REPORT_INTERVAL_PER_ENGINE.saturating_mul(engines);
+        check_due(&self.loads, interval.min(MAX_REPORT_INTERVAL), now)
+    }
+
+    /// Whether a request for relays is due; if so, records it as sent.
+    fn is_relay_query_due(&self, now: Timestamp) -> bool {
+        check_due(&self.relays, RELAY_QUERY_INTERVAL, now)
+    }
+}
+
+fn check_due(last: &Mutex<Option<Timestamp>>, interval: Duration, now: Timestamp) -> bool {
+    let mut last = last.lock().unwrap_or_else(PoisonError::into_inner);
+    let is_due = last.is_none_or(|last| now.since(last) >= interval);
+    if is_due {
+        *last = Some(now);
+    }
+    is_due
+}
+
+/// The call's prompt parts by their hashed keys.
+pub(crate) fn prompt_parts(head: &CallHead) -> Vec<PartNeed> {
+    let parts = head.prompt.iter();
+    parts.map(|part| PartNeed { part: part_key(&part.id), tokens: part.tokens }).collect()
+}
+
+/// The prompt parts that an engine has cached after a call. The answer's tokens extend the last part.
+pub(crate) fn cached_parts(engine: &EngineId, parts: &[PartNeed], answer_tokens: u64) -> Vec<PartHeld> {
+    let engine = engine_key(&engine.life_text());
+    let last = parts.len().saturating_sub(1);
+    let tokens_of = |index: usize, part: &PartNeed| {
+        let answer = if index == last { answer_tokens } else { 0 };
+        u32::try_from(part.tokens + answer).unwrap_or(u32::MAX)
+    };
+    let held = parts.iter().enumerate();
+    held.map(|(index, part)| PartHeld { part: part.part, engine, tokens: tokens_of(index, part) }).collect()
+}
+
+impl<D: Dialect> Edge<D> {
+    /// State to send when a turn begins: asks who has cached its prompt.
+    pub(crate) fn update_at_begin(&self, parts: &[PartNeed]) -> Bytes {
+        let asked_parts = last_parts(parts).iter().map(|part| part.part).collect();
+        self.encode_update(News { asked_parts, ..News::default() })
+    }
+
+    /// State to send when a turn ends: the parts that an engine now has cached.
+    pub(crate) fn update_at_end(&self, held: &[PartHeld]) -> Bytes {
+        self.encode_update(News { held: last_parts(held).to_vec(), ..News::default() })
+    }
+
+    fn encode_update(&self, mut update: News) -> Bytes {
+        let now = self.clock.now();
+        let engines = self.engines().len();
+        if self.exchange_schedule.is_report_due(engines, now) {
+            if self.ledger.tells_board() {
+                self.report_to_board(now);
+            } else {
+                self.add_load_report(&mut update, now);
+            }
+        }
+        Bytes::from(update.encode_to_vec())
+    }
+
+    /// Reports to the zone's board concurrently with the ledger request that is about to be sent, so that the
+    /// board's response is there when an engine is selected.
+    fn report_to_board(&self, now: Timestamp) {
+        let mut update = News::default();
+        self.add_load_report(&mut update, now);
+        let ledger = Arc::clone(&self.ledger);
+        let update = Bytes::from(update.encode_to_vec());
+        tokio::spawn(async move { ledger.tell_board(update).await });
+    }
+
+    fn add_load_report(&self, update: &mut News, now: Timestamp) {
+        update.node.clone_from(&self.settings.node);
+        let relay = self.settings.relay.filter(|_| self.ledger.reaches_members());
+        update.relay = relay.map(|relay| relay.to_string()).unwrap_or_default();
+        update.loads = Some(self.engines().loads(now));
+        update.demands = self.queues.demands(now);
+        update.asks_loads = true;
+        update.asks_relays = self.exchange_schedule.is_relay_query_due(now);
+    }
+
+    fn apply_view(&self, view: View) {
+        let now = self.clock.now();
+        let relays: Vec<SocketAddr> = view.relays.iter().filter_map(|relay| relay.parse().ok()).collect();
+        self.ledger.learn_relays(relays);
+        {
+            let mut engines = self.engines();
+            if let Some(loads) = &view.loads {
+                engines.others_told(loads, now);
+            }
+            for held in view.held {
+                engines.others_hold(held, now);
+            }
+        }
+        if view.loads.is_some() {
+            self.update_outliers(now);
+            self.update_peer_demand(&view.demands);
+        }
+    }
+}
+
+fn last_parts<T>(parts: &[T]) -> &[T] {
+    &parts[parts.len().saturating_sub(MAX_PARTS)..]
+}
+
+/// Passes views to an edge while it exists.
+pub(crate) struct EdgeViewSink<D: Dialect>(pub(crate) Weak<Edge<D>>);
+
+impl<D: Dialect> ViewSink for EdgeViewSink<D> {
+    fn take(&self, view: Bytes) {
+        // Malformed views, and those that arrive after the edge is gone, are dropped.
+        if let (Some(edge), Ok(view)) = (self.0.upgrade(), View::decode(view)) {
+            edge.apply_view(view);
+        }
+    }
+}
+
+/// Subscribes an edge to the views that the ledger's replicas send.
+pub(crate) fn subscribe_to_views<D: Dialect>(edge: &Arc<Edge<D>>) {
+    edge.ledger.tell_views_to(Arc::new(EdgeViewSink(Arc::downgrade(edge))));
+}
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -1,4 +1,5 @@
-//! Calls whose answer is a stream of events: passed on event by event, taken up at an engine again where it may be.
+//! Calls whose response is a stream of events, forwarded as they arrive and resumed at an engine after a failure if
+//! allowed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,111 +13,111 @@
 use sumacdrift_storage::LedgerError;
 use sumacdrift_types::ResultCode;
 
-use crate::answers::{EdgeBody, RelayError, whole_body};
-use crate::attempt::{Answered, CallContext, find_answer};
+use crate::attempt::{CallContext, EngineResponse, attempt_until_response};
+use crate::buffered::{buffer_response, forwarded_response};
 use crate::dialect::Dialect;
 use crate::engine_run::EngineRun;
-use crate::fleet_news::held_parts;
-use crate::metrics::UnderWay;
-use crate::plain::{gather, pass_on};
-use crate::turn::{OpenTurn, code_of};
+use crate::metrics::GaugeGuard;
+use crate::responses::{EdgeBody, RelayError, full_body};
+use crate::state_exchange::cached_parts;
+use crate::turn::{OpenTurn, result_code};
 
-/// Runs a stream up to its first event, so that its head and that event travel together.
+/// Runs a stream up to its first event, so that the response head and that event are sent together.
 pub(crate) async fn run_stream<D: Dialect>(
     mut call: CallContext<D>,
     mut machine: CallMachine,
     turn: Option<OpenTurn>,
 ) -> Result<Response<EdgeBody>, (CallContext<D>, CallMachine, Next)> {
     let first = machine.begin(call.edge.clock.now());
-    let answered = match find_answer(&call, &mut machine, first).await {
-        Ok(answered) => answered,
+    let response = match attempt_until_response(&call, &mut machine, first).await {
+        Ok(response) => response,
         Err(next) => return Err((call, machine, next)),
     };
-    if answered.head.status != StatusCode::OK {
-        return pass_failure_on(call, machine, answered).await;
+    if response.head.status != StatusCode::OK {
+        return forward_failure(call, machine, response).await;
     }
-    let head = answered.head.clone();
+    let head = response.head.clone();
     if !call.selected.route.rules.kind.may_run_again() {
-        // A prompt may be large, and no other engine will get it.
+        // No other engine will get the prompt, which may be large.
         call.forwarded.body = Bytes::new();
     }
     machine.head_given();
-    let mut relay = Relay::new(call, machine, turn, answered);
-    let first = relay.next_piece().await;
+    let mut relay = StreamRelay::new(call, machine, turn, response);
+    let first = relay.next_chunk().await;
     let waited = relay.call.edge.clock.now().since(relay.call.accepted);
     relay.call.edge.metrics.first_event_seconds.observe(waited.as_secs_f64());
-    let pieces = futures::stream::unfold((relay, first), |(mut relay, ready)| async move {
-        let piece = match ready {
-            Some(piece) => Some(piece),
-            None => relay.next_piece().await,
+    let chunks = futures::stream::unfold((relay, first), |(mut relay, ready)| async move {
+        let chunk = match ready {
+            Some(chunk) => Some(chunk),
+            None => relay.next_chunk().await,
         };
-        piece.map(|piece| (piece.map(Frame::data), (relay, None)))
+        chunk.map(|chunk| (chunk.map(Frame::data), (relay, None)))
     });
-    Ok(pass_on(&head, StreamBody::new(pieces).boxed_unsync()))
+    Ok(forwarded_response(&head, StreamBody::new(chunks).boxed_unsync()))
 }
 
-/// Passes on an engine's own failure, which has no events.
-async fn pass_failure_on<D: Dialect>(
+/// Forwards an engine's error response, which has no events.
+async fn forward_failure<D: Dialect>(
     call: CallContext<D>,
     machine: CallMachine,
-    answered: Answered<D>,
+    response: EngineResponse<D>,
 ) -> Result<Response<EdgeBody>, (CallContext<D>, CallMachine, Next)> {
-    let placed = answered.run.placed().clone();
-    match gather(&call, &machine, answered).await {
+    let placed = response.run.placed().clone();
+    match buffer_response(&call, &machine, response).await {
         Ok((head, bytes)) => {
             call.report_served(&machine, head.status.as_u16(), &placed);
-            Ok(pass_on(&head, whole_body(bytes)))
+            Ok(forwarded_response(&head, full_body(bytes)))
         }
         Err(_) => Err((call, machine, Next::Fail { code: ResultCode::BackEndCut })),
     }
 }
 
-type Piece = Option<Result<Bytes, RelayError>>;
+type Chunk = Option<Result<Bytes, RelayError>>;
 
-/// A stream under way.
-struct Relay<D: Dialect> {
+/// A stream that is being relayed.
+struct StreamRelay<D: Dialect> {
     call: CallContext<D>,
     machine: CallMachine,
     turn: Option<OpenTurn>,
     source: Option<(Incoming, EngineRun<D>)>,
     splitter: EventSplitter,
-    ready: VecDeque<StreamEvent>,
-    is_over: bool,
-    _under_way: UnderWay,
+    pending: VecDeque<StreamEvent>,
+    has_ended: bool,
+    _in_flight: GaugeGuard,
 }
 
-impl<D: Dialect> Relay<D> {
+impl<D: Dialect> StreamRelay<D> {
     fn new(
         call: CallContext<D>,
         machine: CallMachine,
         turn: Option<OpenTurn>,
-        answered: Answered<D>,
+        response: EngineResponse<D>,
     ) -> Self {
-        let under_way = UnderWay::begin(&call.edge.metrics.under_way);
+        let in_flight = GaugeGuard::increment(&call.edge.metrics.in_flight);
         Self {
-            _under_way: under_way,
+            _in_flight: in_flight,
             call,
             machine,
             turn,
-            source: Some((answered.body, answered.run)),
+            source: Some((response.body, response.run)),
             splitter: EventSplitter::default(),
-            ready: VecDeque::new(),
-            is_over: false,
+            pending: VecDeque::new(),
+            has_ended: false,
         }
     }
 
-    /// The next bytes for the caller; `None` at the stream's regular end, an error where it is broken off.
-    async fn next_piece(&mut self) -> Piece {
-        while !self.is_over {
-            if let Some(event) = self.ready.pop_front() {
-                return Some(Ok(self.give(event)));
+    /// The next bytes for the caller; `None` at the regular end of the stream, an error if it is aborted.
+    async fn next_chunk(&mut self) -> Chunk {
+        while !self.has_ended {
+            if let Some(event) = self.pending.pop_front() {
+                return Some(Ok(self.combine(event)));
             }
             match self.read().await {
-                ReadOutcome::Data => self.take_events(),
-                ReadOutcome::End => return self.end().await,
+                ReadOutcome::Data => self.split_events(),
+                ReadOutcome::End => return self.finish().await,
                 ReadOutcome::Broken => {
-                    if let Some(code) = self.go_on().await {
-                        return Some(Err(self.break_off(code)));
+                    if let Some(code) = self.resume().await {
+                        return Some(Err(self.abort(code)));
                     }
                 }
             }
@@ -124,32 +125,32 @@
         None
     }
 
-    fn take_events(&mut self) {
+    fn split_events(&mut self) {
         while let Some(event) = self.splitter.next_event() {
-            self.ready.push_back(event);
+            self.pending.push_back(event);
         }
-        if let Some((_, run)) = self.source.as_mut().filter(|_| !self.ready.is_empty()) {
-            run.events_came(self.ready.len());
+        if let Some((_, run)) = self.source.as_mut().filter(|_| !self.pending.is_empty()) {
+            run.record_events(self.pending.len());
         }
     }
 
-    /// Gives an event out, with those that are ready behind it.
-    fn give(&mut self, first: StreamEvent) -> Bytes {
-        self.note(&first);
-        if self.ready.is_empty() {
+    /// Combines an event with those already parsed behind it into one chunk.
+    fn combine(&mut self, first: StreamEvent) -> Bytes {
+        self.record_event(&first);
+        if self.pending.is_empty() {
             return first.bytes;
         }
         let mut bytes = Vec::from(first.bytes);
-        while let Some(event) = self.ready.pop_front() {
-            self.note(&event);
+        while let Some(event) = self.pending.pop_front() {
+            self.record_event(&event);
             bytes.extend_from_slice(&event.bytes);
         }
         Bytes::from(bytes)
     }
 
-    fn note(&mut self, event: &StreamEvent) {
+    fn record_event(&mut self, event: &StreamEvent) {
         if let Some(turn) = &mut self.turn {
-            turn.hand_out(event);
+            turn.record_event(event);
         }
         self.call.edge.metrics.events.inc();
         self.machine.event_given(event.id.clone());
@@ -170,65 +171,65 @@
         }
     }
 
-    /// The engine ended the stream: the turn is committed before the caller sees the end.
-    async fn end(&mut self) -> Piece {
+    /// Finishes the stream after the engine's last event. The turn is committed before the caller sees the end.
+    async fn finish(&mut self) -> Chunk {
         if !self.splitter.rest().is_empty() {
-            // An end in the middle of an event is no end.
-            self.source_failed(Outcome::Faulty);
-            return Some(Err(self.break_off(ResultCode::BackEndCut)));
+            // The stream ended within an event.
+            self.fail_source(Outcome::Faulty);
+            return Some(Err(self.abort(ResultCode::BackEndCut)));
         }
-        self.is_over = true;
+        self.has_ended = true;
         let Some((_, run)) = self.source.take() else {
-            return Some(Err(self.break_off(ResultCode::Internal)));
+            return Some(Err(self.abort(ResultCode::Internal)));
         };
         let placed = run.placed().clone();
         run.finish_stream();
-        let room = self.call.room.take();
-        let waited = room.as_ref().map_or(Duration::ZERO, |room| room.waited);
-        if let Some(room) = room {
-            room.note_served();
+        let slot = self.call.slot.take();
+        let waited = slot.as_ref().map_or(Duration::ZERO, |slot| slot.waited);
+        if let Some(slot) = slot {
+            slot.mark_served();
         }
         if let Some(turn) = self.turn.take()
             && let Err(error) = self.commit(turn, &placed.engine).await
         {
-            return Some(Err(self.break_off(code_of(error))));
+            return Some(Err(self.abort(result_code(error))));
         }
-        let taken = self.call.edge.clock.now().since(self.call.accepted);
-        let served_in = taken.saturating_sub(waited);
-        self.call.edge.usual_times().observe(&self.call.selected.route.name, served_in);
-        self.call.edge.metrics.stream_seconds.observe(taken.as_secs_f64());
+        let elapsed = self.call.edge.clock.now().since(self.call.accepted);
+        let service_time = elapsed.saturating_sub(waited);
+        self.call.edge.route_durations().observe(&self.call.selected.route.name, service_time);
+        self.call.edge.metrics.stream_seconds.observe(elapsed.as_secs_f64());
         self.call.report_served(&self.machine, StatusCode::OK.as_u16(), &placed);
         None
     }
 
-    /// Records the turn's end, and tells where its prompt and answer lie now.
+    /// Commits the turn, and records which engine has its prompt and answer cached.
     async fn commit(&self, turn: OpenTurn, engine: &EngineId) -> Result<(), LedgerError> {
         let edge = &self.call.edge;
-        let held = held_parts(engine, &self.call.parts, turn.tokens());
+        let cached = cached_parts(engine, &self.call.parts, turn.tokens());
         let now = edge.clock.now();
-        held.iter().for_each(|held| edge.book().holds(*held, now));
-        turn.commit(edge.news_at_end(&held)).await
+        cached.iter().for_each(|cached| edge.engines().holds(*cached, now));
+        turn.commit(edge.update_at_end(&cached)).await
     }
 
-    /// The engine broke off: finds one to take the stream up. Returns the reason where there is none.
-    async fn go_on(&mut self) -> Option<ResultCode> {
+    /// Resumes the stream after the engine failed. Returns the result code if that is not possible.
+    async fn resume(&mut self) -> Option<ResultCode> {
         self.splitter.clear();
         let engine = self.source.as_ref().map(|(_, run)| run.engine.clone());
-        self.source_failed(Outcome::Faulty);
+        self.fail_source(Outcome::Faulty);
         let Some(engine) = engine else { return Some(ResultCode::Internal) };
         let now = self.call.edge.clock.now();
         let next = self.machine.failed(&engine, Failure::Lost, now);
-        slog::info!(self.call.edge.logger, "stream broke off"; "event" => "stream_broke_off",
+        slog::info!(self.call.edge.logger, "engine aborted the stream"; "event" => "stream_broke_off",
             "call" => &self.call.head.id, "engine" => %engine, "events" => self.machine.events(),
             "next" => ?next, "age_ms" => self.call.age_millis());
-        match find_answer(&self.call, &mut self.machine, next).await {
-            Ok(answered) if answered.head.status == StatusCode::OK => {
+        match attempt_until_response(&self.call, &mut self.machine, next).await {
+            Ok(response) if response.head.status == StatusCode::OK => {
                 self.call.edge.metrics.resumptions.inc();
-                self.source = Some((answered.body, answered.run));
+                self.source = Some((response.body, response.run));
                 None
             }
-            Ok(answered) => {
-                answered.run.fail(Outcome::Faulty);
+            Ok(response) => {
+                response.run.fail(Outcome::Faulty);
                 Some(ResultCode::BackEndRefused)
             }
             Err(Next::BreakOff { code } | Next::Fail { code } | Next::Refuse { code, .. }) => Some(code),
@@ -236,14 +237,14 @@
         }
     }
 
-    fn source_failed(&mut self, outcome: Outcome) {
+    fn fail_source(&mut self, outcome: Outcome) {
         if let Some((_, run)) = self.source.take() {
             run.fail(outcome);
         }
     }
 
-    fn break_off(&mut self, code: ResultCode) -> RelayError {
-        self.is_over = true;
+    fn abort(&mut self, code: ResultCode) -> RelayError {
+        self.has_ended = true;
         self.call.report_given_up(&self.machine, "broken off", code);
         RelayError(code)
     }
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -1,4 +1,4 @@
-//! A turn of a program in the ledger: begun before an engine may run it, ended whatever happens.
+//! Turns of programs in the ledger: begun before an engine runs them, and ended on every outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,11 @@
 
 use crate::access::Caller;
 
-/// Retention where the route names none: long enough for any program that still runs.
+/// Retention if the route sets none; longer than any running program needs.
 const DEFAULT_RETENTION: Duration = Duration::from_secs(60);
 
-/// A turn that is in the ledger. Dropping it without [`OpenTurn::commit`] ends it with the tokens handed out so far.
+/// A turn that is open in the ledger. Dropping it without [`OpenTurn::commit`] ends it with the tokens forwarded so
+/// far.
 pub(crate) struct OpenTurn {
     ledger: Arc<LedgerClient>,
     logger: Logger,
@@ -32,21 +33,18 @@
     has_ended: bool,
 }
 
-/// What a turn needs to begin.
 pub(crate) struct TurnRequest<'a> {
     pub(crate) head: &'a CallHead,
     pub(crate) program: &'a ProgramHead,
-    /// Whose program it is.
     pub(crate) caller: &'a Caller,
     pub(crate) selected: &'a Selected,
-    /// What the caller sent.
+    /// The caller's request body.
     pub(crate) input: &'a Bytes,
-    /// What is told to other nodes besides.
-    pub(crate) news: Bytes,
+    /// Encoded state for other edges, sent with the request.
+    pub(crate) update: Bytes,
 }
 
-/// The result code that tells of a ledger's refusal.
-pub(crate) fn code_of(error: LedgerError) -> ResultCode {
+pub(crate) fn result_code(error: LedgerError) -> ResultCode {
     match error {
         LedgerError::BudgetSpent => ResultCode::BudgetExhausted,
         LedgerError::UnknownPrevious => ResultCode::UnknownPreviousTurn,
@@ -54,13 +52,13 @@
     }
 }
 
-/// Stands between a tenant's name and a program's or turn's. Names on the wire hold no control characters, so no caller
-/// can write another tenant's.
+/// Separates the tenant from a program's or turn's name. Names on the wire contain no control characters, so a
+/// caller can't forge another tenant's prefix.
 const TENANT_SEPARATOR: char = '\u{1f}';
 
 impl Caller {
-    /// A program's or turn's name in the ledger: a tenant's names are its own, so that no tenant goes on from the turns of
-    /// another or spends its budget.
+    /// The name of a program or turn in the ledger. It is prefixed with the tenant, so that a tenant can't continue
+    /// another's turns or spend its budget.
     pub(crate) fn name_in_ledger(&self, name: &str) -> String {
         match &self.tenant {
             Some(tenant) => format!("{}{TENANT_SEPARATOR}{name}", tenant.name),
@@ -70,14 +68,14 @@
 }
 
 impl OpenTurn {
-    /// Asks the ledger whether the turn may run.
+    /// Begins the turn in the ledger; fails if the ledger rejects it or is unavailable.
     pub(crate) async fn begin(
         ledger: &Arc<LedgerClient>,
         logger: &Logger,
         request: TurnRequest<'_>,
         until: Instant,
     ) -> Result<(Self, Admission), LedgerError> {
-        let TurnRequest { head, program, caller, selected, input, news } = request;
+        let TurnRequest { head, program, caller, selected, input, update } = request;
         let named = |name: &str| caller.name_in_ledger(name);
         let route = &selected.route;
         let retention = if route.retention.is_zero() { DEFAULT_RETENTION } else { route.retention };
@@ -106,15 +104,15 @@
             budget_tokens: program.token_budget.unwrap_or(0),
             needs_chain: route.is_retained && !previous.is_empty(),
             previous,
-            news,
+            news: update,
         };
-        // If this is dropped while it waits, `open` ends the turn.
+        // If this future is dropped while waiting, dropping `open` ends the turn.
         let admission = ledger.begin(begin, until).await?;
         Ok((open, admission))
     }
 
-    /// An event is about to be given to the caller.
-    pub(crate) fn hand_out(&mut self, event: &sumacdrift_calls::StreamEvent) {
+    /// Accounts for an event that is about to be forwarded to the caller.
+    pub(crate) fn record_event(&mut self, event: &sumacdrift_calls::StreamEvent) {
         if !event.has_data {
             return;
         }
@@ -124,32 +122,32 @@
         }
     }
 
-    /// The stream came to its end. Where the turn is kept, it is committed before this returns.
-    /// `news` is told besides.
-    pub(crate) async fn commit(mut self, news: Bytes) -> Result<(), LedgerError> {
+    /// Ends the turn after a complete stream. A retained turn is committed before this returns; others are ended in
+    /// the background. `update` is sent along.
+    pub(crate) async fn commit(mut self, update: Bytes) -> Result<(), LedgerError> {
         let retained = self.input.take().map(|input| RetainedTurn {
             previous: self.previous.clone(),
             input,
             output: Bytes::from(std::mem::take(&mut self.output)),
         });
-        let is_kept = retained.is_some();
-        let ended = self.ended(retained);
-        if is_kept {
-            self.ledger.end(ended, news).await?;
+        let is_retained = retained.is_some();
+        let ended = self.turn_ended(retained);
+        if is_retained {
+            self.ledger.end(ended, update).await?;
             self.has_ended = true;
         } else {
             self.has_ended = true;
-            self.settle_later(ended, news);
+            self.end_in_background(ended, update);
         }
         Ok(())
     }
 
-    /// Tokens handed out so far.
+    /// Tokens forwarded so far.
     pub(crate) fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    fn ended(&self, retained: Option<RetainedTurn>) -> TurnEnded {
+    fn turn_ended(&self, retained: Option<RetainedTurn>) -> TurnEnded {
         TurnEnded {
             program: self.program.clone(),
             turn: self.turn.clone(),
@@ -159,13 +157,13 @@
         }
     }
 
-    fn settle_later(&self, ended: TurnEnded, news: Bytes) {
+    fn end_in_background(&self, ended: TurnEnded, update: Bytes) {
         let ledger = Arc::clone(&self.ledger);
         let logger = self.logger.clone();
         tokio::spawn(async move {
             let turn = ended.turn.clone();
-            if let Err(error) = ledger.end(ended, news).await {
-                info!(logger, "turn not settled"; "event" => "turn_not_settled", "call" => turn,
+            if let Err(error) = ledger.end(ended, update).await {
+                info!(logger, "could not end the turn in the ledger"; "event" => "turn_not_settled", "call" => turn,
                     "error" => %error);
             }
         });
@@ -175,8 +173,8 @@
 impl Drop for OpenTurn {
     fn drop(&mut self) {
         if !self.has_ended && tokio::runtime::Handle::try_current().is_ok() {
-            let ended = self.ended(None);
-            self.settle_later(ended, Bytes::new());
+            let ended = self.turn_ended(None);
+            self.end_in_background(ended, Bytes::new());
         }
     }
 }
