--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' face of one node: health, readiness, metrics and status.
+//! Operators' HTTP endpoints: health, readiness, metrics and status.
 
 use std::sync::Arc;
 
@@ -10,71 +10,69 @@
 use serde_json::{Value, json};
 use sumacdrift_membership::MemberState;
 
-use crate::parts::Parts;
+use crate::components::Components;
 
-/// Content type of Prometheus' text format.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Content type of the OpenMetrics text format.
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What the operators' face shows.
 #[derive(Clone)]
-pub(crate) struct Admin {
-    pub(crate) parts: Arc<Parts>,
+pub(crate) struct AdminState {
+    pub(crate) components: Arc<Components>,
 }
 
-/// The operators' routes.
-pub(crate) fn router(admin: Admin) -> Router {
+pub(crate) fn router(admin: AdminState) -> Router {
     Router::new()
         .route("/healthz", get(|| async { "ok\n" }))
-        .route("/readyz", get(ready))
+        .route("/readyz", get(get_readiness))
         .route("/metrics", get(metrics))
         .route("/status", get(status))
         .with_state(admin)
 }
 
-impl Admin {
-    /// What keeps the node from taking calls, if anything does.
-    fn obstacle(&self) -> Option<&'static str> {
-        if self.parts.context.stopping.is_cancelled() {
-            return Some("the node is being stopped");
+impl AdminState {
+    /// Why the node is not ready for calls; `None` if it is.
+    fn not_ready_reason(&self) -> Option<&'static str> {
+        if self.components.context.stopping.is_cancelled() {
+            return Some("the node is shutting down");
         }
-        if self.parts.configuration.current().is_none() {
-            return Some("no configuration is in force");
+        if self.components.configuration.current().is_none() {
+            return Some("no configuration has been applied");
         }
-        if !self.parts.client.is_ready() {
-            return Some("the node does not belong to a fleet yet");
+        if !self.components.shard_client.is_ready() {
+            return Some("the node has not joined a fleet yet");
         }
         None
     }
 }
 
-async fn ready(State(admin): State<Admin>) -> Response {
-    match admin.obstacle() {
+async fn get_readiness(State(admin): State<AdminState>) -> Response {
+    match admin.not_ready_reason() {
         None => "ready\n".into_response(),
-        Some(obstacle) => (StatusCode::SERVICE_UNAVAILABLE, format!("{obstacle}\n")).into_response(),
+        Some(reason) => (StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")).into_response(),
     }
 }
 
-async fn metrics(State(admin): State<Admin>) -> Response {
-    let traffic = admin.parts.context.transport.counters().totals();
-    let metrics = &admin.parts.context.metrics;
+async fn metrics(State(admin): State<AdminState>) -> Response {
+    let traffic = admin.components.context.transport.counters().totals();
+    let metrics = &admin.components.context.metrics;
     metrics.peer_sent_bytes.set(traffic.sent_bytes as i64);
     metrics.peer_received_bytes.set(traffic.received_bytes as i64);
     metrics.peer_sent_messages.set(traffic.sent_messages as i64);
-    ([(header::CONTENT_TYPE, METRICS_TYPE)], metrics.text()).into_response()
+    ([(header::CONTENT_TYPE, METRICS_CONTENT_TYPE)], metrics.encode_text()).into_response()
 }
 
-async fn status(State(admin): State<Admin>) -> Json<Value> {
-    let members: Vec<Value> = admin.parts.fleet.members().iter().map(member_json).collect();
+async fn status(State(admin): State<AdminState>) -> Json<Value> {
+    let members: Vec<Value> = admin.components.fleet.members().iter().map(member_json).collect();
     let shards: Vec<Value> = admin
-        .parts
-        .host
-        .roles()
+        .components
+        .shard_host
+        .shard_roles()
         .into_iter()
         .map(|(shard, is_leader, term)| json!({"shard": shard.0, "leads": is_leader, "term": term}))
         .collect();
     let engines: Vec<Value> = admin
-        .parts
-        .owner
+        .components
+        .engine_owner
         .loads()
         .into_iter()
         .map(|(engine, load)| {
@@ -83,13 +81,13 @@
         })
         .collect();
     Json(json!({
-        "node": admin.parts.context.own.node.0,
-        "incarnation": admin.parts.context.own.incarnation.0,
-        "zone": admin.parts.context.settings.zone,
-        "region": admin.parts.context.settings.region,
-        "obstacle": admin.obstacle(),
-        "generation": admin.parts.configuration.generation().0,
-        "calls_running": admin.parts.calls.count(),
+        "node": admin.components.context.own_replica.node.0,
+        "incarnation": admin.components.context.own_replica.incarnation.0,
+        "zone": admin.components.context.settings.zone,
+        "region": admin.components.context.settings.region,
+        "obstacle": admin.not_ready_reason(),
+        "generation": admin.components.configuration.generation().0,
+        "calls_running": admin.components.running_calls.count(),
         "members": members,
         "shards": shards,
         "engines": engines,
--- a/crates/node/src/chat_attempts.rs
+++ b/crates/node/src/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! Attempts of a turn at engines, as the call's state machine knows them.
+//! Conversions between engine attempts and the call state machine.
 
 use std::time::Duration;
 
@@ -6,28 +6,27 @@
 use sumacdrift_engine_client::EngineError;
 use sumacdrift_types::{EngineName, Problem, ResultCode};
 
-/// How long a call is held at the most; the turn's own deadline comes first.
-const LONGEST_CALL: Duration = Duration::from_secs(24 * 3600);
+/// Upper bound only; the turn's own deadline is enforced separately.
+const MAX_CALL_DURATION: Duration = Duration::from_secs(24 * 3600);
 
-/// An engine as the state machine knows it.
 pub(crate) fn engine_id(engine: &EngineName) -> EngineId {
     EngineId::new(engine.as_str())
 }
 
-/// What the bundle allows for a turn: a broken answer goes on at another engine after the text that came.
-pub(crate) fn rules_of(max_attempts: u32) -> CallRules {
+/// Rules for a turn: a stream that breaks off resumes at another engine after the text received so far.
+pub(crate) fn call_rules(max_attempts: u32) -> CallRules {
     CallRules {
         kind: CallKind::Stream { resumable: true },
         max_engines: max_attempts as usize,
         returns_to_last: false,
-        timeout: LONGEST_CALL,
-        aim: LONGEST_CALL,
+        timeout: MAX_CALL_DURATION,
+        aim: MAX_CALL_DURATION,
         priority: 0,
     }
 }
 
-/// How an attempt failed.
-pub(crate) fn failure_of(error: &EngineError) -> Failure {
+/// Maps an engine error to the call state machine's failure kind.
+pub(crate) fn classify_failure(error: &EngineError) -> Failure {
     match error {
         EngineError::Unreachable(_) => Failure::NotSent,
         EngineError::Refused { .. } | EngineError::Garbage => Failure::Spoiled,
@@ -35,7 +34,7 @@
     }
 }
 
-/// What a caller is told of a failed attempt.
+/// Maps an engine error to the problem reported to the caller.
 pub(crate) fn to_problem(error: &EngineError) -> Problem {
     let code = match error {
         EngineError::Unreachable(_) => ResultCode::BackEndUnreachable,
--- a/crates/node/src/chat_runner.rs
+++ b/crates/node/src/chat_runner.rs
@@ -1,7 +1,7 @@
 //! Runs a turn from admission to commit.
 //!
-//! A turn runs in a task of its own, apart from the caller's connection: what was admitted must be finished or
-//! abandoned whatever happens to the caller.
+//! Each turn runs in its own task, independent of the caller's connection: once admitted, it must be
+//! committed or abandoned even if the caller disconnects.
 
 mod attempts;
 
@@ -25,41 +25,39 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-use crate::calls::RunningCalls;
 use crate::configuration::ConfigurationStore;
 use crate::context::Context;
 use crate::engine_router::{EngineRouter, Grant};
+use crate::running_calls::RunningCalls;
 use crate::shard_client::ShardClient;
 
-/// Pieces of an answer that may wait for the caller.
-const ITEM_QUEUE: usize = 64;
-/// How long a command that must not get lost is tried.
-const COMMIT_TIME: Duration = Duration::from_secs(15);
-/// Added to a call's deadline before its program's leader gives it up.
-const GIVE_UP_SLACK: Duration = Duration::from_secs(20);
-/// Cap on generated tokens where the caller names none.
+/// Items of an answer that are buffered for a slow caller.
+const ITEM_QUEUE_CAPACITY: usize = 64;
+/// How long the admission and the commit of a turn are retried.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Margin beyond a call's deadline before its program's leader abandons it.
+const RUN_LIMIT_MARGIN: Duration = Duration::from_secs(20);
+/// Maximum output tokens if the caller sets no limit.
 const DEFAULT_OUTPUT_TOKENS: TokenCount = 4096;
-/// How often a call is placed whose engine's owner stops or dies.
-const PLACE_TRIES: u32 = 5;
-/// Pause between two tries to place a call.
-const PLACE_PAUSE: Duration = Duration::from_millis(300);
-/// Retries that may be saved up.
-const RETRY_BUDGET_MAXIMUM: f64 = 20.0;
-/// Name under which engines see calls that belong to no program.
-pub(crate) const NO_PROGRAM: &str = "single-call";
-
-/// Runs turns.
+/// Attempts to place a call whose engine owner is stopping or unreachable.
+const MAX_PLACEMENT_ATTEMPTS: u32 = 5;
+const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum retries that a pool's budget accumulates.
+const MAX_RETRY_BUDGET: f64 = 20.0;
+/// Program name that engines see for calls without a program.
+pub(crate) const SINGLE_CALL_PROGRAM: &str = "single-call";
+
 pub(crate) struct ChatRunner {
     context: Arc<Context>,
     configuration: Arc<ConfigurationStore>,
-    client: Arc<ShardClient>,
-    router: Arc<EngineRouter>,
-    engines: EngineClient,
-    calls: Arc<RunningCalls>,
+    shard_client: Arc<ShardClient>,
+    engine_router: Arc<EngineRouter>,
+    engine_client: EngineClient,
+    running_calls: Arc<RunningCalls>,
     retries: Mutex<HashMap<PoolName, RetryBudget>>,
 }
 
-/// One turn with everything that was looked up for it.
+/// A turn with the configuration that applies to it.
 struct Turn {
     call: ChatCall,
     bundle: Arc<Bundle>,
@@ -70,8 +68,8 @@
     cancelled: CancellationToken,
 }
 
-/// What an engine made of a turn.
-struct Completion {
+/// The result of a turn that an engine completed.
+struct CompletedTurn {
     answer: Answer,
     usage: Usage,
     engine: EngineName,
@@ -79,15 +77,15 @@
     reason: String,
 }
 
-/// How far a turn came that can't be completed.
-struct Incomplete {
+/// A turn that could not be completed, with the tokens and engines it used.
+struct IncompleteTurn {
     problem: Problem,
     output_tokens: TokenCount,
     engines: Vec<EngineName>,
 }
 
-/// The state of a turn over several attempts.
-struct Progress {
+/// State of a turn that is kept across attempts.
+struct TurnProgress {
     answer: AnswerBuilder,
     generated: TokenCount,
     usage: Usage,
@@ -96,31 +94,39 @@
     first_token: Option<Timestamp>,
 }
 
-/// The caller's end of a turn.
-struct CallerLink {
+/// Sends the answer to the caller.
+struct CallerChannel {
     items: mpsc::Sender<ChatItem>,
-    is_gone: bool,
+    is_disconnected: bool,
 }
 
 impl ChatRunner {
     pub(crate) fn new(
         context: Arc<Context>,
         configuration: Arc<ConfigurationStore>,
-        client: Arc<ShardClient>,
-        router: Arc<EngineRouter>,
-        engines: EngineClient,
-        calls: Arc<RunningCalls>,
+        shard_client: Arc<ShardClient>,
+        engine_router: Arc<EngineRouter>,
+        engine_client: EngineClient,
+        running_calls: Arc<RunningCalls>,
     ) -> Self {
-        Self { context, configuration, client, router, engines, calls, retries: Mutex::default() }
+        Self {
+            context,
+            configuration,
+            shard_client,
+            engine_router,
+            engine_client,
+            running_calls,
+            retries: Mutex::default(),
+        }
     }
 
-    /// Begins a turn; resolves when it is known that it runs or ran.
+    /// Starts a turn. Resolves once the turn has been admitted, replayed or rejected.
     pub(crate) async fn start(self: Arc<Self>, call: ChatCall) -> Result<ChatStream, Problem> {
-        let cancelled = self.calls.begin(call.call);
-        let turn = match self.look_up(call.clone(), cancelled) {
+        let cancelled = self.running_calls.register(call.call);
+        let turn = match self.resolve(call.clone(), cancelled) {
             Ok(turn) => turn,
             Err(problem) => {
-                self.calls.end(call.call);
+                self.running_calls.deregister(call.call);
                 return Err(problem);
             }
         };
@@ -131,14 +137,14 @@
             runner.context.metrics.calls_running.inc();
             runner.run(turn, head_sender).await;
             runner.context.metrics.calls_running.dec();
-            runner.calls.end(id);
+            runner.running_calls.deregister(id);
         });
         let lost = || Problem::unknown(ResultCode::Internal, "the call's task ended without an answer");
         head.await.unwrap_or_else(|_| Err(lost()))
     }
 
-    fn look_up(&self, call: ChatCall, cancelled: CancellationToken) -> Result<Turn, Problem> {
-        let missing = || Problem::not_run(ResultCode::NoConfiguration, "no configuration is in force");
+    fn resolve(&self, call: ChatCall, cancelled: CancellationToken) -> Result<Turn, Problem> {
+        let missing = || Problem::not_run(ResultCode::NoConfiguration, "no configuration has been applied");
         let bundle = self.configuration.current().ok_or_else(missing)?;
         let tenant = bundle.tenants.get(&call.tenant).cloned();
         let unknown = || Problem::not_run(ResultCode::Unauthenticated, "the tenant was removed");
@@ -155,8 +161,8 @@
             }
         };
         let started = self.context.now();
-        let time = call.deadline.map_or(pool.deadline, |wanted| wanted.min(pool.deadline));
-        let deadline = started + time;
+        let time_limit = call.deadline.map_or(pool.deadline, |wanted| wanted.min(pool.deadline));
+        let deadline = started + time_limit;
         Ok(Turn { call, bundle, tenant, pool, started, deadline, cancelled })
     }
 
@@ -167,7 +173,7 @@
         }
     }
 
-    /// A call without program: nothing is recorded, and it ends when its caller leaves.
+    /// Runs a call without a program: nothing is recorded, and it is cancelled when its caller disconnects.
     async fn run_single_call(&self, turn: Turn, head: oneshot::Sender<Result<ChatStream, Problem>>) {
         let run = RunTurn {
             turn: TurnNumber(0),
@@ -177,15 +183,15 @@
             attained_tokens: 0,
         };
         let chat_head = ChatHead { program: None, turn: run.turn, is_replay: false };
-        let Some(mut link) = send_head(head, chat_head) else { return };
-        let stop_with_caller = link.items.clone();
+        let Some(mut caller) = send_head(head, chat_head) else { return };
+        let stop_with_caller = caller.items.clone();
         let completed = tokio::select! {
             () = stop_with_caller.closed() => return,
-            completed = self.complete(&turn, &run, &mut link) => completed,
+            completed = self.run_on_engines(&turn, &run, &mut caller) => completed,
         };
         match completed {
-            Ok(completion) => self.finish_link(&turn, &mut link, completion).await,
-            Err(incomplete) => self.fail_link(&turn, &mut link, incomplete.problem).await,
+            Ok(completion) => self.send_completion(&turn, &mut caller, completion).await,
+            Err(incomplete) => self.send_failure(&turn, &mut caller, incomplete.problem).await,
         }
     }
 
@@ -197,16 +203,17 @@
     ) {
         let begun = tokio::select! {
             () = head.closed() => None,
-            begun = self.begin(&turn, &program) => Some(begun),
+            begun = self.begin_turn(&turn, &program) => Some(begun),
         };
         let run = match begun {
             None => {
-                // Whether the turn was admitted in the meantime is not known here; this settles it.
-                self.abandon(&turn, &program, 0, Vec::new(), "its caller left before it began").await;
+                // The turn may have been admitted in the meantime; abandoning it is safe either way.
+                self.abandon(&turn, &program, 0, Vec::new(), "the caller disconnected before the turn began")
+                    .await;
                 return;
             }
             Some(Err(problem)) => {
-                self.refuse(&turn, head, problem);
+                self.reject(&turn, head, problem);
                 return;
             }
             Some(Ok(Reply::Replay(recorded))) => {
@@ -215,38 +222,39 @@
             }
             Some(Ok(Reply::Run(run))) => *run,
             Some(Ok(Reply::Abandoned)) => {
-                let detail = "the call was given up before it began";
-                self.refuse(&turn, head, Problem::not_run(ResultCode::NotCommitted, detail));
+                let detail = "the call was abandoned before it began";
+                self.reject(&turn, head, Problem::not_run(ResultCode::NotCommitted, detail));
                 return;
             }
             Some(Ok(_)) => {
-                let detail = "the program's leader gave an answer that does not fit";
-                self.refuse(&turn, head, Problem::not_run(ResultCode::Internal, detail));
+                let detail = "unexpected reply from the program's leader";
+                self.reject(&turn, head, Problem::not_run(ResultCode::Internal, detail));
                 return;
             }
         };
         let chat_head = ChatHead { program: Some(program.clone()), turn: run.turn, is_replay: false };
-        let Some(mut link) = send_head(head, chat_head) else {
-            self.abandon(&turn, &program, 0, Vec::new(), "its caller left before it began").await;
+        let Some(mut caller) = send_head(head, chat_head) else {
+            self.abandon(&turn, &program, 0, Vec::new(), "the caller disconnected before the turn began")
+                .await;
             return;
         };
-        match self.complete(&turn, &run, &mut link).await {
-            Ok(completion) => self.commit(&turn, program, completion, &mut link).await,
+        match self.run_on_engines(&turn, &run, &mut caller).await {
+            Ok(completion) => self.commit(&turn, program, completion, &mut caller).await,
             Err(incomplete) => {
                 let reason = incomplete.problem.to_string();
                 let (tokens, engines) = (incomplete.output_tokens, incomplete.engines);
-                self.fail_link(&turn, &mut link, incomplete.problem).await;
+                self.send_failure(&turn, &mut caller, incomplete.problem).await;
                 self.abandon(&turn, &program, tokens, engines, &reason).await;
             }
         }
     }
 
     /// Asks the program's leader to admit the turn.
-    async fn begin(&self, turn: &Turn, program: &ProgramId) -> Result<Reply, Problem> {
-        let limits = self.limits(turn, program).await?;
+    async fn begin_turn(&self, turn: &Turn, program: &ProgramId) -> Result<Reply, Problem> {
+        let limits = self.budget_limits(turn, program).await?;
         let wait = self.context.settings.limits.turn_wait;
         let wait_until = (self.context.now() + wait).min(turn.deadline);
-        let mut known = known_prefix_length(&turn.call);
+        let mut known = estimate_known_prefix(&turn.call);
         loop {
             let (messages, known_prefix) = split_known(&turn.call.messages, known);
             let begin = BeginTurn {
@@ -263,12 +271,12 @@
                 limits,
                 runner: self.context.runner(),
                 wait_until,
-                run_limit: turn.deadline.since(self.context.now()) + GIVE_UP_SLACK,
+                run_limit: turn.deadline.since(self.context.now()) + RUN_LIMIT_MARGIN,
             };
             let command = Command::BeginTurn(Box::new(begin));
-            let give_up = wait_until + COMMIT_TIME;
+            let deadline = wait_until + COMMIT_TIMEOUT;
             let call = turn.call.call;
-            match self.client.program_command(program, call, command, wait, give_up).await? {
+            match self.shard_client.send_program_command(program, call, command, wait, deadline).await? {
                 Reply::SendAllMessages if known > 0 => known = 0,
                 Reply::Refused(problem) => return Err(problem),
                 reply => return Ok(reply),
@@ -276,8 +284,9 @@
         }
     }
 
-    /// The limits of a program that this turn may create; a sub-agent's come out of its parent's.
-    async fn limits(
+    /// Budget limits in case the turn creates its program. A sub-agent's limits are granted from its parent's
+    /// budget.
+    async fn budget_limits(
         &self,
         turn: &Turn,
         program: &ProgramId,
@@ -296,8 +305,12 @@
                 share_percent: turn.bundle.sub_agent_share_percent,
             };
             let command = Command::GrantChild(grant);
-            let give_up = turn.deadline;
-            match self.client.program_command(parent, call, command, Duration::ZERO, give_up).await? {
+            let deadline = turn.deadline;
+            match self
+                .shard_client
+                .send_program_command(parent, call, command, Duration::ZERO, deadline)
+                .await?
+            {
                 Reply::Granted(limits) => return Ok(limits),
                 Reply::Refused(problem) => match problem.retry_after {
                     Some(delay) if self.context.now() + delay < turn.deadline => {
@@ -305,13 +318,19 @@
                     }
                     _ => return Err(problem),
                 },
-                _ => return Err(Problem::not_run(ResultCode::Internal, "the parent's answer does not fit")),
+                _ => return Err(Problem::not_run(ResultCode::Internal, "unexpected reply from the parent")),
             }
         }
     }
 
-    /// Commits the answer to the history; only then does the caller see the end.
-    async fn commit(&self, turn: &Turn, program: ProgramId, completion: Completion, link: &mut CallerLink) {
+    /// Commits the answer to the history before the end of the stream is sent to the caller.
+    async fn commit(
+        &self,
+        turn: &Turn,
+        program: ProgramId,
+        completion: CompletedTurn,
+        caller: &mut CallerChannel,
+    ) {
         let finish = FinishTurn {
             program: program.clone(),
             call: turn.call.call,
@@ -322,18 +341,19 @@
             reason: completion.reason.clone(),
         };
         let command = Command::FinishTurn(Box::new(finish));
-        let give_up = self.context.now() + COMMIT_TIME;
+        let deadline = self.context.now() + COMMIT_TIMEOUT;
         let call = turn.call.call;
-        let reply = self.client.program_command(&program, call, command, Duration::ZERO, give_up).await;
+        let reply =
+            self.shard_client.send_program_command(&program, call, command, Duration::ZERO, deadline).await;
         match reply {
-            Ok(Reply::Done) => self.finish_link(turn, link, completion).await,
-            // The turn did run, whatever its leader says of the request to record it.
-            Ok(Reply::Refused(problem)) => self.fail_link(turn, link, problem.with_ran(Ran::Yes)).await,
+            Ok(Reply::Done) => self.send_completion(turn, caller, completion).await,
+            // The turn ran, even though the leader refused to record it.
+            Ok(Reply::Refused(problem)) => self.send_failure(turn, caller, problem.with_ran(Ran::Yes)).await,
             Ok(_) | Err(_) => {
                 let detail = "the answer could not be committed to the program's history";
                 let problem = Problem::unknown(ResultCode::NotCommitted, detail)
                     .with_retry_after(Duration::from_secs(1));
-                self.fail_link(turn, link, problem).await;
+                self.send_failure(turn, caller, problem).await;
             }
         }
     }
@@ -353,7 +373,7 @@
             engines,
             reason: reason.to_owned(),
         };
-        self.client.follow_up(program, turn.call.call, command).await;
+        self.shard_client.send_follow_up(program, turn.call.call, command).await;
     }
 
     async fn replay(
@@ -364,57 +384,57 @@
     ) {
         self.context.metrics.replays.inc();
         let chat_head = ChatHead { program: Some(program), turn: recorded.turn, is_replay: true };
-        let Some(mut link) = send_head(head, chat_head) else { return };
+        let Some(mut caller) = send_head(head, chat_head) else { return };
         let timeout = self.context.settings.limits.body_timeout;
-        let delta = replay_delta(&recorded.answer.message);
-        link.send(ChatItem::Deltas(vec![delta]), timeout).await;
-        link.send(ChatItem::Message(recorded.answer.message), timeout).await;
+        let delta = message_as_delta(&recorded.answer.message);
+        caller.send(ChatItem::Deltas(vec![delta]), timeout).await;
+        caller.send(ChatItem::Message(recorded.answer.message), timeout).await;
         let reason = recorded.answer.finish_reason;
-        link.send(ChatItem::Finished { reason, usage: recorded.usage }, timeout).await;
+        caller.send(ChatItem::Finished { reason, usage: recorded.usage }, timeout).await;
     }
 
-    async fn finish_link(&self, turn: &Turn, link: &mut CallerLink, completion: Completion) {
+    async fn send_completion(&self, turn: &Turn, caller: &mut CallerChannel, completion: CompletedTurn) {
         let metrics = &self.context.metrics;
-        metrics.turn_finished(self.context.now().since(turn.started));
+        metrics.record_turn(self.context.now().since(turn.started));
         metrics.output_tokens.inc_by(completion.usage.output_tokens);
         metrics.prompt_tokens.inc_by(completion.usage.prompt_tokens);
         metrics.cached_tokens.inc_by(completion.usage.cached_tokens);
         let timeout = turn.pool.stall_timeout;
-        link.send(ChatItem::Message(completion.answer.message), timeout).await;
+        caller.send(ChatItem::Message(completion.answer.message), timeout).await;
         let reason = completion.answer.finish_reason;
-        link.send(ChatItem::Finished { reason, usage: completion.usage }, timeout).await;
+        caller.send(ChatItem::Finished { reason, usage: completion.usage }, timeout).await;
     }
 
-    async fn fail_link(&self, turn: &Turn, link: &mut CallerLink, problem: Problem) {
-        self.note_problem(turn, &problem);
-        link.send(ChatItem::Failed(problem), turn.pool.stall_timeout).await;
+    async fn send_failure(&self, turn: &Turn, caller: &mut CallerChannel, problem: Problem) {
+        self.record_problem(turn, &problem);
+        caller.send(ChatItem::Failed(problem), turn.pool.stall_timeout).await;
     }
 
-    fn refuse(&self, turn: &Turn, head: oneshot::Sender<Result<ChatStream, Problem>>, problem: Problem) {
-        self.note_problem(turn, &problem);
+    fn reject(&self, turn: &Turn, head: oneshot::Sender<Result<ChatStream, Problem>>, problem: Problem) {
+        self.record_problem(turn, &problem);
         let _ = head.send(Err(problem));
     }
 
-    fn note_problem(&self, turn: &Turn, problem: &Problem) {
-        self.context.metrics.problem(problem);
+    fn record_problem(&self, turn: &Turn, problem: &Problem) {
+        self.context.metrics.record_problem(problem);
         info!(self.context.logger, "call failed"; "call" => %turn.call.call,
             "tenant" => %turn.call.tenant, "code" => problem.code.number(), "ran" => %problem.ran,
             "detail" => &problem.detail);
     }
 }
 
-impl CallerLink {
-    /// Passes a piece on. A caller that takes nothing for too long counts as gone.
+impl CallerChannel {
+    /// Sends an item. A caller that doesn't take it within the timeout is treated as disconnected.
     async fn send(&mut self, item: ChatItem, timeout: Duration) {
-        if self.is_gone {
+        if self.is_disconnected {
             return;
         }
         let sent = tokio::time::timeout(timeout, self.items.send(item)).await;
-        self.is_gone = !matches!(sent, Ok(Ok(())));
+        self.is_disconnected = !matches!(sent, Ok(Ok(())));
     }
 }
 
-/// Releases a grant when the attempt ends, also where it is cancelled in the middle.
+/// Releases a grant when the attempt ends or is cancelled.
 struct ReleaseOnDrop<'a> {
     runner: &'a ChatRunner,
     grant: &'a Grant,
@@ -428,7 +448,7 @@
         Self { runner, grant, call, finished: None, is_engine_fault: false }
     }
 
-    fn fault(&mut self, error: &EngineError) {
+    fn record_error(&mut self, error: &EngineError) {
         self.is_engine_fault = error.is_engine_fault();
     }
 }
@@ -440,25 +460,30 @@
             finished: self.finished.take(),
             is_engine_fault: self.is_engine_fault,
         };
-        self.runner.router.release(self.grant, release);
+        self.runner.engine_router.release(self.grant, release);
     }
 }
 
-fn send_head(head: oneshot::Sender<Result<ChatStream, Problem>>, chat_head: ChatHead) -> Option<CallerLink> {
-    let (items, receiver) = mpsc::channel(ITEM_QUEUE);
+fn send_head(
+    head: oneshot::Sender<Result<ChatStream, Problem>>,
+    chat_head: ChatHead,
+) -> Option<CallerChannel> {
+    let (items, receiver) = mpsc::channel(ITEM_QUEUE_CAPACITY);
     let stream = ChatStream { head: chat_head, items: receiver };
     head.send(Ok(stream)).ok()?;
-    Some(CallerLink { items, is_gone: false })
+    Some(CallerChannel { items, is_disconnected: false })
 }
 
-/// The program under which engines keep a call's context.
 fn engine_program(turn: &Turn) -> ProgramId {
-    let single = || ProgramId::new(NO_PROGRAM).unwrap_or_else(|_| unreachable!("a valid constant"));
+    let single = || {
+        ProgramId::new(SINGLE_CALL_PROGRAM)
+            .unwrap_or_else(|_| unreachable!("the constant is a valid program id"))
+    };
     turn.call.program.clone().unwrap_or_else(single)
 }
 
-/// Leading messages that the program's leader is likely to have: everything up to the last answer.
-fn known_prefix_length(call: &ChatCall) -> usize {
+/// Number of leading messages that the program's leader probably has: all up to the last assistant message.
+fn estimate_known_prefix(call: &ChatCall) -> usize {
     if call.mode == HistoryMode::Append {
         return 0;
     }
@@ -473,20 +498,20 @@
     (rest.to_vec(), KnownPrefix { length: known, digest })
 }
 
-/// A recorded message as one `delta` member.
-fn replay_delta(message: &ChatMessage) -> String {
+/// Returns a recorded message as the value of a `delta` field.
+fn message_as_delta(message: &ChatMessage) -> String {
     message.canonical().to_owned()
 }
 
-/// Whether a call could not be queued because the node that queues for the engine stops or died.
-fn is_lost_owner(problem: &Problem) -> bool {
+/// Whether the call wasn't enqueued because the engine's owner is stopping or unreachable.
+fn is_owner_unavailable(problem: &Problem) -> bool {
     matches!(problem.code, ResultCode::PeerUnreachable | ResultCode::NodeStopping)
 }
 
-fn cancelled() -> Problem {
-    Problem::unknown(ResultCode::Cancelled, "the program was ended while the call was under way")
+fn cancelled_problem() -> Problem {
+    Problem::unknown(ResultCode::Cancelled, "the program was ended while the call was in flight")
 }
 
-fn deadline_exceeded() -> Problem {
+fn deadline_problem() -> Problem {
     Problem::unknown(ResultCode::DeadlineExceeded, "the deadline passed before the answer was complete")
 }
--- a/crates/node/src/chat_runner/attempts.rs
+++ b/crates/node/src/chat_runner/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a turn at engines: choosing, sending, reading the stream, trying again.
+//! Runs a turn on engines: places it, sends it, reads the stream and retries on failure.
 
 use std::sync::PoisonError;
 use std::time::Duration;
@@ -12,40 +12,41 @@
 use sumacdrift_types::{ChatMessage, EngineName, Problem, ResultCode, Timestamp, Usage};
 
 use super::{
-    CallerLink, ChatRunner, Completion, Incomplete, PLACE_PAUSE, PLACE_TRIES, Progress, RETRY_BUDGET_MAXIMUM,
-    ReleaseOnDrop, Turn, cancelled, deadline_exceeded, engine_program, is_lost_owner,
+    CallerChannel, ChatRunner, CompletedTurn, IncompleteTurn, MAX_PLACEMENT_ATTEMPTS, MAX_RETRY_BUDGET,
+    PLACEMENT_RETRY_DELAY, ReleaseOnDrop, Turn, TurnProgress, cancelled_problem, deadline_problem,
+    engine_program, is_owner_unavailable,
 };
-use crate::chat_attempts::{engine_id, failure_of, rules_of, to_problem};
+use crate::attempt_outcome::{call_rules, classify_failure, engine_id, to_problem};
 use crate::engine_router::Grant;
 
 impl ChatRunner {
-    /// Runs the turn on engines until one completes it.
-    pub(super) async fn complete(
+    /// Runs the turn on engines until one completes it, the turn is cancelled or its deadline passes.
+    pub(super) async fn run_on_engines(
         &self,
         turn: &Turn,
         run: &RunTurn,
-        link: &mut CallerLink,
-    ) -> Result<Completion, Incomplete> {
-        let mut progress = Progress {
+        caller: &mut CallerChannel,
+    ) -> Result<CompletedTurn, IncompleteTurn> {
+        let mut progress = TurnProgress {
             answer: AnswerBuilder::default(),
             generated: 0,
             usage: Usage::default(),
             tried: Vec::new(),
-            machine: CallMachine::new(rules_of(turn.bundle.retry.max_attempts), None, self.context.now()),
+            machine: CallMachine::new(call_rules(turn.bundle.retry.max_attempts), None, self.context.now()),
             first_token: None,
         };
-        let attempts = self.attempts(turn, run, link, &mut progress);
+        let attempts = self.run_attempts(turn, run, caller, &mut progress);
         let outcome = tokio::select! {
-            () = turn.cancelled.cancelled() => Err(cancelled()),
+            () = turn.cancelled.cancelled() => Err(cancelled_problem()),
             outcome = tokio::time::timeout_at(self.context.clock.instant(turn.deadline), attempts) => {
-                outcome.unwrap_or_else(|_| Err(deadline_exceeded()))
+                outcome.unwrap_or_else(|_| Err(deadline_problem()))
             }
         };
         match outcome {
             Ok((grant, finish_reason)) => {
                 let mut other_engines = progress.tried;
                 other_engines.retain(|engine| *engine != grant.engine);
-                Ok(Completion {
+                Ok(CompletedTurn {
                     answer: Answer { message: progress.answer.message(), finish_reason },
                     usage: progress.usage,
                     engine: grant.engine,
@@ -53,7 +54,7 @@
                     reason: grant.reason,
                 })
             }
-            Err(problem) => Err(Incomplete {
+            Err(problem) => Err(IncompleteTurn {
                 problem: problem.with_ran(progress.machine.ran()),
                 output_tokens: progress.generated,
                 engines: progress.tried,
@@ -61,41 +62,41 @@
         }
     }
 
-    pub(super) async fn attempts(
+    pub(super) async fn run_attempts(
         &self,
         turn: &Turn,
         run: &RunTurn,
-        link: &mut CallerLink,
-        progress: &mut Progress,
+        caller: &mut CallerChannel,
+        progress: &mut TurnProgress,
     ) -> Result<(Grant, String), Problem> {
         let messages: Vec<ChatMessage> =
             run.earlier_messages.iter().chain(&turn.call.messages).cloned().collect();
         let prefixes = context_prefixes(&messages);
-        let mut request = self.engine_request(turn, run, messages);
+        let mut request = self.build_engine_request(turn, run, messages);
         let mut failed: Vec<EngineName> = Vec::new();
-        self.first_attempt(turn);
+        self.record_first_attempt(turn);
         for attempt in 1.. {
-            let work = self.work(turn, run, &prefixes);
+            let work = self.build_work(turn, run, &prefixes);
             let preferred: Vec<EngineName> = run.last_engine.iter().cloned().collect();
             let grant = self.place(turn, &work, &preferred, &failed).await?;
-            debug!(self.context.logger, "call is placed"; "call" => %turn.call.call,
+            debug!(self.context.logger, "call placed"; "call" => %turn.call.call,
                 "engine" => %grant.engine, "attempt" => attempt, "reason" => &grant.reason);
             request.max_tokens = run.output_tokens.saturating_sub(progress.generated).max(1);
             request.partial_answer = progress.answer.text().to_owned();
-            let error = match self.attempt(turn, &grant, &request, link, progress, &prefixes).await {
+            let error = match self.run_attempt(turn, &grant, &request, caller, progress, &prefixes).await {
                 Ok(finish_reason) => return Ok((grant, finish_reason)),
                 Err(error) => error,
             };
             info!(self.context.logger, "engine failed a call"; "call" => %turn.call.call,
                 "engine" => %grant.engine, "attempt" => attempt, "error" => error.to_string());
             failed.push(grant.engine.clone());
-            self.may_retry(turn, &grant.engine, progress, &error)?;
+            self.check_retry(turn, &grant.engine, progress, &error)?;
         }
-        Err(Problem::unknown(ResultCode::Internal, "attempts never end here"))
+        Err(Problem::unknown(ResultCode::Internal, "the attempt loop ended without a result"))
     }
 
-    /// Finds an engine. Where the node that queues for it stops or dies, another one takes over within moments;
-    /// nothing was sent, so the call is simply placed again.
+    /// Finds an engine, retrying while its owner is stopping or unreachable: another node takes ownership
+    /// over soon, and nothing has been sent to an engine yet.
     pub(super) async fn place(
         &self,
         turn: &Turn,
@@ -103,19 +104,21 @@
         preferred: &[EngineName],
         failed: &[EngineName],
     ) -> Result<Grant, Problem> {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             let queue_time = turn.deadline.since(self.context.now());
-            let placed = self.router.place(&turn.pool, work, preferred, failed, queue_time).await;
+            let placed = self.engine_router.place(&turn.pool, work, preferred, failed, queue_time).await;
             match placed {
-                Err(problem) if is_lost_owner(&problem) && tries < PLACE_TRIES => tries += 1,
+                Err(problem) if is_owner_unavailable(&problem) && attempts < MAX_PLACEMENT_ATTEMPTS => {
+                    attempts += 1
+                }
                 outcome => return outcome,
             }
-            tokio::time::sleep(PLACE_PAUSE).await;
+            tokio::time::sleep(PLACEMENT_RETRY_DELAY).await;
         }
     }
 
-    pub(super) fn engine_request(
+    pub(super) fn build_engine_request(
         &self,
         turn: &Turn,
         run: &RunTurn,
@@ -132,7 +135,7 @@
         }
     }
 
-    pub(super) fn work(&self, turn: &Turn, run: &RunTurn, prefixes: &[ContextPrefix]) -> Work {
+    pub(super) fn build_work(&self, turn: &Turn, run: &RunTurn, prefixes: &[ContextPrefix]) -> Work {
         Work {
             call: turn.call.call,
             program: engine_program(turn),
@@ -145,51 +148,52 @@
         }
     }
 
-    /// One attempt at one engine. The grant is released however the attempt ends.
-    pub(super) async fn attempt(
+    /// Runs one attempt at one engine. The grant is released however the attempt ends.
+    pub(super) async fn run_attempt(
         &self,
         turn: &Turn,
         grant: &Grant,
         request: &EngineRequest,
-        link: &mut CallerLink,
-        progress: &mut Progress,
+        caller: &mut CallerChannel,
+        progress: &mut TurnProgress,
         prefixes: &[ContextPrefix],
     ) -> Result<String, EngineError> {
         let mut release = ReleaseOnDrop::new(self, grant, turn.call.call);
         let sent = self.context.now();
         let generated_before = progress.generated;
-        // From here on the engine may have seen the request, unless the connection could not be opened.
+        // Recorded before sending: from here on the engine may have seen the request, unless connecting
+        // fails.
         progress.machine.sent(&engine_id(&grant.engine));
         progress.tried.push(grant.engine.clone());
-        let started = self.engines.start(grant.address, request, turn.pool.stall_timeout).await;
+        let started = self.engine_client.start(grant.address, request, turn.pool.stall_timeout).await;
         let mut stream = match started {
             Ok(stream) => stream,
             Err(error) => {
                 if matches!(error, EngineError::Unreachable(_)) {
                     progress.tried.pop();
                 }
-                release.fault(&error);
+                release.record_error(&error);
                 return Err(error);
             }
         };
-        let outcome = self.read_stream(turn, &mut stream, link, progress).await;
+        let outcome = self.read_stream(turn, &mut stream, caller, progress).await;
         let finish_reason = match outcome {
             Ok(finish_reason) => finish_reason,
             Err(error) => {
-                release.fault(&error);
+                release.record_error(&error);
                 return Err(error);
             }
         };
-        self.note_finished(&mut release, progress, prefixes, sent);
+        self.record_finished(&mut release, progress, prefixes, sent);
         progress.usage.output_tokens += generated_before;
         progress.usage.prompt_tokens = progress.usage.prompt_tokens.saturating_sub(generated_before);
         Ok(finish_reason)
     }
 
-    pub(super) fn note_finished(
+    pub(super) fn record_finished(
         &self,
         release: &mut ReleaseOnDrop<'_>,
-        progress: &Progress,
+        progress: &TurnProgress,
         prefixes: &[ContextPrefix],
         sent: Timestamp,
     ) {
@@ -212,8 +216,8 @@
         &self,
         turn: &Turn,
         stream: &mut EngineStream,
-        link: &mut CallerLink,
-        progress: &mut Progress,
+        caller: &mut CallerChannel,
+        progress: &mut TurnProgress,
     ) -> Result<String, EngineError> {
         loop {
             let items = stream.next_items().await?;
@@ -235,13 +239,13 @@
                 }
             }
             if !deltas.is_empty() {
-                self.note_first_token(turn, progress);
-                link.send(ChatItem::Deltas(deltas), turn.pool.stall_timeout).await;
+                self.record_first_token(turn, progress);
+                caller.send(ChatItem::Deltas(deltas), turn.pool.stall_timeout).await;
             }
         }
     }
 
-    pub(super) fn note_first_token(&self, turn: &Turn, progress: &mut Progress) {
+    pub(super) fn record_first_token(&self, turn: &Turn, progress: &mut TurnProgress) {
         if progress.first_token.is_none() {
             let now = self.context.now();
             progress.first_token = Some(now);
@@ -250,15 +254,15 @@
         }
     }
 
-    pub(super) fn first_attempt(&self, turn: &Turn) {
+    pub(super) fn record_first_attempt(&self, turn: &Turn) {
         self.with_retry_budget(turn, RetryBudget::attempted);
     }
 
-    pub(super) fn may_retry(
+    pub(super) fn check_retry(
         &self,
         turn: &Turn,
         engine: &EngineName,
-        progress: &mut Progress,
+        progress: &mut TurnProgress,
         error: &EngineError,
     ) -> Result<(), Problem> {
         let problem = to_problem(error);
@@ -266,12 +270,12 @@
             progress.machine.forbid_resumption();
         }
         let now = self.context.now();
-        let next = progress.machine.failed(&engine_id(engine), failure_of(error), now);
+        let next = progress.machine.failed(&engine_id(engine), classify_failure(error), now);
         if !matches!(next, Next::Try { .. }) {
             return Err(problem);
         }
         if !self.with_retry_budget(turn, |budget| budget.try_retry(now)) {
-            let detail = format!("{problem}; the retry budget of pool {} is used up", turn.pool.name);
+            let detail = format!("{problem}; the retry budget of pool {} is exhausted", turn.pool.name);
             return Err(Problem::unknown(ResultCode::RetryBudgetExhausted, detail)
                 .with_retry_after(Duration::from_secs(1)));
         }
@@ -284,7 +288,7 @@
         let mut budgets = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = budgets
             .entry(turn.pool.name.clone())
-            .or_insert_with(|| RetryBudget::new(retry.ratio, retry.minimum_per_second, RETRY_BUDGET_MAXIMUM));
+            .or_insert_with(|| RetryBudget::new(retry.ratio, retry.minimum_per_second, MAX_RETRY_BUDGET));
         change(budget)
     }
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,14 +1,14 @@
-//! The node's clock.
+//! Monotonic clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use sumacdrift_types::Timestamp;
 use tokio::time::Instant;
 
-/// A monotonic clock that starts at the time of day.
+/// A monotonic clock that starts at the wall-clock time.
 ///
-/// It begins with the wall clock, so that the times of different nodes can be compared roughly, and never jumps
-/// afterwards. Nothing that must be safe depends on nodes' clocks agreeing.
+/// This makes timestamps of different nodes roughly comparable. The clock never jumps afterwards. Safety must
+/// not depend on agreement between nodes' clocks.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     origin: Instant,
@@ -25,7 +25,7 @@
         Timestamp(self.unix_micros_at_origin + self.origin.elapsed().as_micros() as u64)
     }
 
-    /// The runtime's instant for a point in time.
+    /// Converts a timestamp to an instant of the runtime. Times before the clock's start map to its start.
     pub(crate) fn instant(&self, at: Timestamp) -> Instant {
         self.origin + Duration::from_micros(at.0.saturating_sub(self.unix_micros_at_origin))
     }
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/components.rs
@@ -1,4 +1,4 @@
-//! The parts of a node, connected with each other: the one place where everything is wired.
+//! Constructs the components of a node and connects them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,53 +14,52 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use crate::calls::RunningCalls;
 use crate::chat_runner::ChatRunner;
 use crate::clock::Clock;
 use crate::configuration::ConfigurationStore;
 use crate::context::Context;
-use crate::dispatch::NodeDispatcher;
+use crate::dispatcher::NodeDispatcher;
 use crate::engine_owner::EngineOwner;
 use crate::engine_router::EngineRouter;
 use crate::fleet::Fleet;
 use crate::founding::FoundingState;
 use crate::metrics::Metrics;
+use crate::running_calls::RunningCalls;
 use crate::service_runner::ServiceRunner;
 use crate::shard_client::ShardClient;
 use crate::shard_host::ShardHost;
 use crate::{NodeAddresses, StartOptions};
 
-/// Peers that were found to have a newer configuration.
+/// Receives peers that announced a newer configuration, with its generation.
 pub(crate) type NewerGenerations = mpsc::UnboundedReceiver<(NodeId, Generation)>;
 
-/// The parts of a node.
-pub(crate) struct Parts {
+pub(crate) struct Components {
     pub(crate) context: Arc<Context>,
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) host: Arc<ShardHost>,
-    pub(crate) client: Arc<ShardClient>,
-    pub(crate) owner: Arc<EngineOwner>,
-    pub(crate) router: Arc<EngineRouter>,
+    pub(crate) shard_host: Arc<ShardHost>,
+    pub(crate) shard_client: Arc<ShardClient>,
+    pub(crate) engine_owner: Arc<EngineOwner>,
+    pub(crate) engine_router: Arc<EngineRouter>,
     pub(crate) configuration: Arc<ConfigurationStore>,
     pub(crate) founding: Arc<FoundingState>,
-    pub(crate) calls: Arc<RunningCalls>,
+    pub(crate) running_calls: Arc<RunningCalls>,
 }
 
-impl Parts {
-    /// Connects the parts; nothing runs yet.
+impl Components {
+    /// Constructs all components without starting any tasks.
     pub(crate) fn build(
         settings: Settings,
         options: StartOptions,
         addresses: NodeAddresses,
-    ) -> (Arc<Parts>, NewerGenerations) {
+    ) -> (Arc<Components>, NewerGenerations) {
         let clock = Clock::start();
-        let own = ReplicaId { node: settings.id, incarnation: Incarnation(clock.now().0) };
+        let own_replica = ReplicaId { node: settings.id, incarnation: Incarnation(clock.now().0) };
         let logger = options.logger.new(o!("node" => settings.id.0));
         let counters = Arc::new(TrafficCounters::default());
-        let member = own_member(&settings, own, addresses.peers);
+        let member = own_member(&settings, own_replica, addresses.peers);
         let context = Arc::new(Context {
             settings,
-            own,
+            own_replica,
             clock,
             transport: Arc::new(Transport::new(options.network, counters)),
             http: HttpClient::new(),
@@ -72,61 +71,73 @@
         let (newer_sender, newer_generations) = mpsc::unbounded_channel();
         let fleet = Arc::new(Fleet::new(Arc::clone(&context), member, newer_sender));
         let configuration = Arc::new(ConfigurationStore::new(Arc::clone(&context)));
-        let engines = EngineClient::new(context.http.clone());
-        let owner = Arc::new(EngineOwner::new(Arc::clone(&context), Arc::clone(&configuration), engines));
-        configuration.connect(&fleet, &owner);
-        let router = Arc::new(EngineRouter::new(
+        let engine_client = EngineClient::new(context.http.clone());
+        let engine_owner =
+            Arc::new(EngineOwner::new(Arc::clone(&context), Arc::clone(&configuration), engine_client));
+        configuration.connect(&fleet, &engine_owner);
+        let engine_router = Arc::new(EngineRouter::new(
             Arc::clone(&context),
             Arc::clone(&fleet),
             Arc::clone(&configuration),
-            Arc::clone(&owner),
+            Arc::clone(&engine_owner),
         ));
-        let calls = Arc::new(RunningCalls::default());
-        let host = Arc::new(ShardHost::new(
+        let running_calls = Arc::new(RunningCalls::default());
+        let shard_host = Arc::new(ShardHost::new(
             Arc::clone(&context),
             Arc::clone(&fleet),
-            Arc::clone(&router),
-            Arc::clone(&calls),
+            Arc::clone(&engine_router),
+            Arc::clone(&running_calls),
         ));
-        let client = Arc::new(ShardClient::new(Arc::clone(&context), Arc::clone(&fleet), Arc::clone(&host)));
-        host.set_client(&client);
+        let shard_client =
+            Arc::new(ShardClient::new(Arc::clone(&context), Arc::clone(&fleet), Arc::clone(&shard_host)));
+        shard_host.set_shard_client(&shard_client);
         let founding = Arc::new(FoundingState::new(
             Arc::clone(&context),
             Arc::clone(&fleet),
-            Arc::clone(&host),
-            Arc::clone(&client),
+            Arc::clone(&shard_host),
+            Arc::clone(&shard_client),
         ));
-        let parts = Parts { context, fleet, host, client, owner, router, configuration, founding, calls };
-        (Arc::new(parts), newer_generations)
+        let components = Components {
+            context,
+            fleet,
+            shard_host,
+            shard_client,
+            engine_owner,
+            engine_router,
+            configuration,
+            founding,
+            running_calls,
+        };
+        (Arc::new(components), newer_generations)
     }
 
-    /// The callers' face of these parts.
+    /// Constructs the gateway's dispatcher.
     pub(crate) fn dispatcher(&self) -> Arc<NodeDispatcher> {
-        let chats = ChatRunner::new(
+        let chat_runner = ChatRunner::new(
             Arc::clone(&self.context),
             Arc::clone(&self.configuration),
-            Arc::clone(&self.client),
-            Arc::clone(&self.router),
+            Arc::clone(&self.shard_client),
+            Arc::clone(&self.engine_router),
             EngineClient::new(self.context.http.clone()),
-            Arc::clone(&self.calls),
+            Arc::clone(&self.running_calls),
         );
-        let services = ServiceRunner::new(
+        let service_runner = ServiceRunner::new(
             Arc::clone(&self.context),
             Arc::clone(&self.configuration),
-            Arc::clone(&self.client),
-            Arc::clone(&self.calls),
+            Arc::clone(&self.shard_client),
+            Arc::clone(&self.running_calls),
         );
         Arc::new(NodeDispatcher {
             context: Arc::clone(&self.context),
             configuration: Arc::clone(&self.configuration),
-            client: Arc::clone(&self.client),
-            chats: Arc::new(chats),
-            services: Arc::new(services),
+            shard_client: Arc::clone(&self.shard_client),
+            chat_runner: Arc::new(chat_runner),
+            service_runner: Arc::new(service_runner),
         })
     }
 }
 
-fn own_member(settings: &Settings, own: ReplicaId, address: SocketAddr) -> Member {
+fn own_member(settings: &Settings, own_replica: ReplicaId, address: SocketAddr) -> Member {
     let mut roles = RoleSet::default();
     for (role, bit) in [
         (Role::Gateway, RoleSet::GATEWAY),
@@ -138,8 +149,8 @@
         }
     }
     Member {
-        node: own.node,
-        incarnation: own.incarnation,
+        node: own_replica.node,
+        incarnation: own_replica.incarnation,
         refutation: 0,
         state: MemberState::Alive,
         is_leaving: false,
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this node and how it gets here.
+//! The active configuration, and fetching newer ones from the platform and from peers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError, RwLock, Weak};
@@ -16,23 +16,21 @@
 use crate::engine_owner::EngineOwner;
 use crate::fleet::Fleet;
 
-/// How long a peer is given to send its configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
-/// First pause after trouble with the platform.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after trouble with the platform.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
-/// Nodes of a zone that watch the platform; the others learn from them.
+/// First backoff after a failed request to the platform; doubles with each failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// Nodes per zone that watch the platform. The others fetch the configuration from peers.
 const WATCHERS_PER_ZONE: usize = 2;
-/// How often a node that does not watch looks whether it should.
-const WATCHER_CHECK: Duration = Duration::from_secs(1);
+/// How often a non-watcher checks whether it has become a watcher.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The configuration in force.
+/// Holds the active configuration.
 pub(crate) struct ConfigurationStore {
     context: Arc<Context>,
     in_force: RwLock<InForce<Arc<Bundle>>>,
     fleet: RwLock<Weak<Fleet>>,
-    owner: RwLock<Weak<EngineOwner>>,
+    engine_owner: RwLock<Weak<EngineOwner>>,
 }
 
 impl ConfigurationStore {
@@ -41,44 +39,42 @@
             context,
             in_force: RwLock::default(),
             fleet: RwLock::new(Weak::new()),
-            owner: RwLock::new(Weak::new()),
+            engine_owner: RwLock::new(Weak::new()),
         }
     }
 
-    /// Connects the store with those that must hear of a new configuration.
-    pub(crate) fn connect(&self, fleet: &Arc<Fleet>, owner: &Arc<EngineOwner>) {
+    /// Sets the components that are notified of a new configuration.
+    pub(crate) fn connect(&self, fleet: &Arc<Fleet>, engine_owner: &Arc<EngineOwner>) {
         *self.fleet.write().unwrap_or_else(PoisonError::into_inner) = Arc::downgrade(fleet);
-        *self.owner.write().unwrap_or_else(PoisonError::into_inner) = Arc::downgrade(owner);
+        *self.engine_owner.write().unwrap_or_else(PoisonError::into_inner) = Arc::downgrade(engine_owner);
     }
 
-    /// The configuration in force.
+    /// `None` until a first configuration has been applied.
     pub(crate) fn current(&self) -> Option<Arc<Bundle>> {
         self.in_force.read().unwrap_or_else(PoisonError::into_inner).current().cloned()
     }
 
-    /// The generation in force; 0 where there is none.
+    /// Generation of the active configuration; 0 if there is none.
     pub(crate) fn generation(&self) -> Generation {
         self.current().map_or(Generation(0), |bundle| bundle.generation)
     }
 
-    /// An engine's address.
     pub(crate) fn address_of(&self, engine: &EngineName) -> Option<SocketAddr> {
         let bundle = self.current()?;
-        bundle.engines().find(|(_, one)| one.name == *engine).map(|(_, one)| one.address)
+        bundle.engines().find(|(_, candidate)| candidate.name == *engine).map(|(_, found)| found.address)
     }
 
-    /// An engine's zone.
     pub(crate) fn zone_of(&self, engine: &EngineName) -> Option<ZoneName> {
         let bundle = self.current()?;
-        bundle.engines().find(|(_, one)| one.name == *engine).map(|(_, one)| one.zone.clone())
+        bundle.engines().find(|(_, candidate)| candidate.name == *engine).map(|(_, found)| found.zone.clone())
     }
 
-    /// Puts a bundle in force if it is newer than the present one.
-    pub(crate) fn offer(&self, source: &str, text: &str) -> bool {
+    /// Applies the bundle if it is valid and newer than the active one. Returns whether it was applied.
+    pub(crate) fn apply_if_newer(&self, source: &str, text: &str) -> bool {
         let bundle = match Bundle::parse(source, text) {
             Ok(bundle) => Arc::new(bundle),
             Err(mistakes) => {
-                error!(self.context.logger, "bundle is not valid and was not put in force";
+                error!(self.context.logger, "rejected an invalid bundle";
                     "source" => source, "mistakes" => mistakes.to_string());
                 return false;
             }
@@ -87,11 +83,12 @@
         if !self.in_force.write().unwrap_or_else(PoisonError::into_inner).offer(bundle) {
             return false;
         }
-        info!(self.context.logger, "configuration is in force";
+        info!(self.context.logger, "applied a new configuration";
             "generation" => generation.0, "source" => source);
         self.context.metrics.generation.set(generation.0 as i64);
-        if let Some(owner) = self.owner.read().unwrap_or_else(PoisonError::into_inner).upgrade() {
-            owner.reconfigure();
+        if let Some(engine_owner) = self.engine_owner.read().unwrap_or_else(PoisonError::into_inner).upgrade()
+        {
+            engine_owner.reconfigure();
         }
         if let Some(fleet) = self.fleet().as_ref() {
             fleet.set_generation(generation);
@@ -99,8 +96,8 @@
         true
     }
 
-    /// Fetches newer configurations from the peers that are reported to have them.
-    pub(crate) async fn follow_peers(
+    /// Fetches configurations from peers that announced a newer generation.
+    pub(crate) async fn watch_peers(
         self: Arc<Self>,
         mut newer: mpsc::UnboundedReceiver<(NodeId, Generation)>,
     ) {
@@ -111,24 +108,24 @@
             };
             let Some((peer, generation)) = reported else { return };
             if generation > self.generation() {
-                self.fetch_from(peer).await;
+                self.fetch_bundle_from(peer).await;
             }
         }
     }
 
     /// Watches the platform's object API while this node is one of its zone's watchers.
-    pub(crate) async fn follow_platform(self: Arc<Self>, client: ObjectClient) {
+    pub(crate) async fn watch_platform(self: Arc<Self>, object_client: ObjectClient) {
         let mut version = 0;
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let watch = async {
-                if !self.is_watcher() {
-                    tokio::time::sleep(WATCHER_CHECK).await;
+                if !self.is_platform_watcher() {
+                    tokio::time::sleep(WATCHER_CHECK_INTERVAL).await;
                     return Ok(None);
                 }
                 match version {
-                    0 => client.read(BUNDLE_OBJECT).await.map(Some),
-                    _ => client.watch(BUNDLE_OBJECT, version).await,
+                    0 => object_client.read(BUNDLE_OBJECT).await.map(Some),
+                    _ => object_client.watch(BUNDLE_OBJECT, version).await,
                 }
             };
             let outcome = tokio::select! {
@@ -137,43 +134,43 @@
             };
             match outcome {
                 Ok(object) => {
-                    pause = FIRST_PAUSE;
+                    backoff = INITIAL_BACKOFF;
                     if let Some(object) = object {
                         version = object.version;
-                        self.offer("platform", &object.value);
+                        self.apply_if_newer("platform", &object.value);
                     }
                 }
                 Err(PlatformError::Expired) => version = 0,
                 Err(error) => {
-                    warn!(self.context.logger, "platform is in trouble"; "error" => error.to_string(),
-                        "pause_seconds" => pause.as_secs_f64());
+                    warn!(self.context.logger, "request to the platform failed"; "error" => error.to_string(),
+                        "pause_seconds" => backoff.as_secs_f64());
                     let jitter = rand::rng().random_range(0.5..1.0);
-                    tokio::time::sleep(pause.mul_f64(jitter)).await;
-                    pause = (pause * 2).min(MAX_PAUSE);
+                    tokio::time::sleep(backoff.mul_f64(jitter)).await;
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    async fn fetch_from(&self, peer: NodeId) {
+    async fn fetch_bundle_from(&self, peer: NodeId) {
         let Some(address) = self.fleet().and_then(|fleet| fleet.address_of(peer)) else { return };
         let request = Request::Fleet(FleetRequest::FetchBundle);
         let answer = self.context.transport.request(address, request, FETCH_TIMEOUT).await;
         if let Ok(Response::Fleet(FleetReply::Bundle { text, .. })) = answer {
-            self.offer(&format!("node {peer}"), &text);
+            self.apply_if_newer(&format!("node {peer}"), &text);
         }
     }
 
-    /// Whether this node is among the first of its zone, by number, that are alive.
-    fn is_watcher(&self) -> bool {
+    /// Whether this node is among the lowest-numbered usable nodes of its zone.
+    fn is_platform_watcher(&self) -> bool {
         let Some(fleet) = self.fleet() else { return true };
-        let own = self.context.own.node;
+        let own_node = self.context.own_replica.node;
         let zone = &self.context.settings.zone;
-        let before = fleet
+        let lower_numbered = fleet
             .members()
             .into_iter()
-            .filter(|member| member.zone == *zone && member.node < own && member.is_usable());
-        before.count() < WATCHERS_PER_ZONE
+            .filter(|member| member.zone == *zone && member.node < own_node && member.is_usable());
+        lower_numbered.count() < WATCHERS_PER_ZONE
     }
 
     fn fleet(&self) -> Option<Arc<Fleet>> {
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a node shares.
+//! State shared by all components of a node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,36 +16,33 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// What every part of a node shares.
 pub(crate) struct Context {
     pub(crate) settings: Settings,
-    /// This life of this node.
-    pub(crate) own: ReplicaId,
+    /// This node and its incarnation.
+    pub(crate) own_replica: ReplicaId,
     pub(crate) clock: Clock,
     pub(crate) transport: Arc<Transport>,
     pub(crate) http: HttpClient,
     pub(crate) metrics: Metrics,
     pub(crate) logger: Logger,
-    /// Cancelled when a planned stop begins.
+    /// Cancelled when a graceful shutdown begins.
     pub(crate) stopping: CancellationToken,
     /// Cancelled when the node's tasks must end.
     pub(crate) stopped: CancellationToken,
 }
 
 impl Context {
-    /// The node's time.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// This life as the runner of calls.
     pub(crate) fn runner(&self) -> Runner {
-        Runner { node: self.own.node, incarnation: self.own.incarnation }
+        Runner { node: self.own_replica.node, incarnation: self.own_replica.incarnation }
     }
 
-    /// Calls `tick` again and again until the node stops. A late tick puts off the following ones instead of
-    /// being followed by a burst.
-    pub(crate) async fn every(&self, period: Duration, mut tick: impl FnMut()) {
+    /// Calls `tick` once per period until the node stops. A late tick delays the following ones instead of
+    /// causing a burst.
+    pub(crate) async fn run_every(&self, period: Duration, mut tick: impl FnMut()) {
         let mut interval = tokio::time::interval(period);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -56,8 +53,7 @@
         }
     }
 
-    /// A random seed for a state machine.
-    pub(crate) fn seed(&self) -> u64 {
+    pub(crate) fn random_seed(&self) -> u64 {
         rand::random()
     }
 }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The callers' face meets the node.
+//! Connects the gateway to the node's runners.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,16 +16,15 @@
 use crate::service_runner::ServiceRunner;
 use crate::shard_client::ShardClient;
 
-/// How long a question about a program is tried.
-const PROGRAM_TIME: Duration = Duration::from_secs(5);
+const PROGRAM_COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs calls on this node.
+/// Implements the gateway's [`Dispatcher`] on this node.
 pub(crate) struct NodeDispatcher {
     pub(crate) context: Arc<Context>,
     pub(crate) configuration: Arc<ConfigurationStore>,
-    pub(crate) client: Arc<ShardClient>,
-    pub(crate) chats: Arc<ChatRunner>,
-    pub(crate) services: Arc<ServiceRunner>,
+    pub(crate) shard_client: Arc<ShardClient>,
+    pub(crate) chat_runner: Arc<ChatRunner>,
+    pub(crate) service_runner: Arc<ServiceRunner>,
 }
 
 impl Dispatcher for NodeDispatcher {
@@ -35,18 +34,18 @@
 
     fn check_ready(&self) -> Result<(), Problem> {
         if self.context.stopping.is_cancelled() {
-            let detail = "the node is being stopped; another one takes the call";
+            let detail = "the node is shutting down; retry at another node";
             return Err(Problem::not_run(ResultCode::NodeStopping, detail).with_retry_after(Duration::ZERO));
         }
         Ok(())
     }
 
     fn chat(self: Arc<Self>, call: ChatCall) -> DispatchFuture<ChatStream> {
-        Box::pin(Arc::clone(&self.chats).start(call))
+        Box::pin(Arc::clone(&self.chat_runner).start(call))
     }
 
     fn service(self: Arc<Self>, call: ServiceCall) -> DispatchFuture<ServiceAnswer> {
-        Box::pin(Arc::clone(&self.services).run(call))
+        Box::pin(Arc::clone(&self.service_runner).run(call))
     }
 
     fn describe(self: Arc<Self>, call: ProgramCall, page: Page) -> DispatchFuture<ProgramReport> {
@@ -57,10 +56,10 @@
                 tenant: call.tenant.clone(),
                 page,
             };
-            match self.ask(call, command).await? {
+            match self.send_command(call, command).await? {
                 Reply::Report(report) => Ok(*report),
                 Reply::Refused(problem) => Err(problem),
-                _ => Err(unfitting()),
+                _ => Err(unexpected_reply()),
             }
         })
     }
@@ -69,22 +68,24 @@
         Box::pin(async move {
             let tenant = Some(call.tenant.clone());
             let command = Command::EndProgram { call: call.call, program: call.program.clone(), tenant };
-            match self.ask(call, command).await? {
+            match self.send_command(call, command).await? {
                 Reply::Done => Ok(()),
                 Reply::Refused(problem) => Err(problem),
-                _ => Err(unfitting()),
+                _ => Err(unexpected_reply()),
             }
         })
     }
 }
 
 impl NodeDispatcher {
-    async fn ask(&self, call: ProgramCall, command: Command) -> Result<Reply, Problem> {
-        let give_up = self.context.now() + PROGRAM_TIME;
-        self.client.program_command(&call.program, call.call, command, Duration::ZERO, give_up).await
+    async fn send_command(&self, call: ProgramCall, command: Command) -> Result<Reply, Problem> {
+        let deadline = self.context.now() + PROGRAM_COMMAND_TIMEOUT;
+        self.shard_client
+            .send_program_command(&call.program, call.call, command, Duration::ZERO, deadline)
+            .await
     }
 }
 
-fn unfitting() -> Problem {
-    Problem::not_run(ResultCode::Internal, "the program's leader gave an answer that does not fit")
+fn unexpected_reply() -> Problem {
+    Problem::not_run(ResultCode::Internal, "unexpected reply from the program's leader")
 }
--- a/crates/node/src/engine_owner.rs
+++ b/crates/node/src/engine_owner.rs
@@ -1,4 +1,4 @@
-//! Queues of the engines that this node owns.
+//! Call queues of the engines that this node owns.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,140 +13,141 @@
 use crate::configuration::ConfigurationStore;
 use crate::context::Context;
 
-/// How often queues are given the time.
-const TICK: Duration = Duration::from_millis(100);
-/// How often freeing a program's memory is tried.
-const FREE_ATTEMPTS: u32 = 5;
-/// First pause between two tries; it doubles.
-const FREE_PAUSE: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Attempts to tell an engine to free a program's memory.
+const MAX_FREE_ATTEMPTS: u32 = 5;
+/// Delay before the second attempt; doubles with each attempt.
+const INITIAL_FREE_BACKOFF: Duration = Duration::from_millis(200);
 
-struct Owned {
+struct OwnedEngine {
     queue: EngineQueue,
-    waiting: HashMap<CallId, oneshot::Sender<Result<(), Problem>>>,
+    waiters: HashMap<CallId, oneshot::Sender<Result<(), Problem>>>,
 }
 
-/// Queues by engine. A queue comes into being when its engine is first asked about.
+/// Call queues by engine. A queue is created on the first request for its engine.
 pub(crate) struct EngineOwner {
     context: Arc<Context>,
     configuration: Arc<ConfigurationStore>,
-    client: EngineClient,
-    owned: Mutex<HashMap<EngineName, Owned>>,
+    engine_client: EngineClient,
+    owned: Mutex<HashMap<EngineName, OwnedEngine>>,
 }
 
 impl EngineOwner {
     pub(crate) fn new(
         context: Arc<Context>,
         configuration: Arc<ConfigurationStore>,
-        client: EngineClient,
+        engine_client: EngineClient,
     ) -> Self {
-        Self { context, configuration, client, owned: Mutex::default() }
+        Self { context, configuration, engine_client, owned: Mutex::default() }
     }
 
-    /// Offers for a call; engines that can't take it are left out.
+    /// Bids of the engines for a call. Engines that can't take it are left out.
     pub(crate) fn bids(&self, engines: &[EngineName], prefixes: &[ContextPrefix]) -> Vec<Bid> {
         let now = self.context.now();
         let mut owned = self.lock();
         let mut bids = Vec::new();
         for engine in engines {
-            if let Some(one) = self.queue_of(&mut owned, engine) {
-                bids.extend(one.queue.bid(prefixes, now));
+            if let Some(entry) = self.queue_for(&mut owned, engine) {
+                bids.extend(entry.queue.bid(prefixes, now));
             }
         }
         bids
     }
 
-    /// Queues a call and waits until it may be sent. Dropping the future takes the call out of the queue.
+    /// Enqueues a call and waits until the engine's queue grants or rejects it. Dropping the future cancels
+    /// the call.
     pub(crate) async fn enqueue(&self, engine: &EngineName, work: Work) -> Result<(), Problem> {
         let call = work.call;
         let (sender, receiver) = oneshot::channel();
         {
             let now = self.context.now();
             let mut owned = self.lock();
-            let Some(one) = self.queue_of(&mut owned, engine) else {
+            let Some(entry) = self.queue_for(&mut owned, engine) else {
                 let detail = format!("engine {engine} is not configured");
                 return Err(Problem::not_run(ResultCode::NoEngine, detail));
             };
-            one.waiting.insert(call, sender);
-            let effects = one.queue.enqueue(work, now);
-            deliver(one, effects);
+            entry.waiters.insert(call, sender);
+            let effects = entry.queue.enqueue(work, now);
+            deliver_outcomes(entry, effects);
         }
-        let guard = ForgetOnDrop { owner: self, engine, call, is_settled: false };
+        let guard = CancelOnDrop { owner: self, engine, call, is_disarmed: false };
         let outcome = receiver.await;
-        guard.settle();
+        guard.disarm();
         let lost = || Problem::not_run(ResultCode::NoEngine, "the engine's queue was dropped");
         outcome.unwrap_or_else(|_| Err(lost()))
     }
 
-    /// Ends a granted call.
+    /// Frees the slot of a granted call.
     pub(crate) fn release(&self, engine: &EngineName, release: Release) {
         let now = self.context.now();
         let mut owned = self.lock();
-        if let Some(one) = owned.get_mut(engine) {
-            let effects = one.queue.release(release, now);
-            deliver(one, effects);
+        if let Some(entry) = owned.get_mut(engine) {
+            let effects = entry.queue.release(release, now);
+            deliver_outcomes(entry, effects);
         }
     }
 
-    /// Takes a call out of the queue; if it was granted meanwhile, gives the grant back.
-    pub(crate) fn forget(&self, engine: &EngineName, call: CallId) {
+    /// Removes a call from the queue, or frees its slot if it was already granted.
+    pub(crate) fn cancel_call(&self, engine: &EngineName, call: CallId) {
         let now = self.context.now();
         let mut owned = self.lock();
-        if let Some(one) = owned.get_mut(engine) {
-            one.waiting.remove(&call);
-            one.queue.forget(call);
+        if let Some(entry) = owned.get_mut(engine) {
+            entry.waiters.remove(&call);
+            entry.queue.forget(call);
             let release = Release { call, finished: None, is_engine_fault: false };
-            let effects = one.queue.release(release, now);
-            deliver(one, effects);
+            let effects = entry.queue.release(release, now);
+            deliver_outcomes(entry, effects);
         }
     }
 
-    /// Tells an engine that a program ended, trying a few times.
+    /// Tells an engine in the background to free the memory of an ended program.
     pub(crate) fn free_program(self: &Arc<Self>, engine: &EngineName, program: &ProgramId) {
-        if let Some(one) = self.lock().get_mut(engine) {
-            one.queue.forget_program(program);
+        if let Some(entry) = self.lock().get_mut(engine) {
+            entry.queue.forget_program(program);
         }
         let (owner, engine, program) = (Arc::clone(self), engine.clone(), program.clone());
         tokio::spawn(async move {
-            let mut pause = FREE_PAUSE;
-            for _ in 0..FREE_ATTEMPTS {
+            let mut backoff = INITIAL_FREE_BACKOFF;
+            for _ in 0..MAX_FREE_ATTEMPTS {
                 let Some(address) = owner.configuration.address_of(&engine) else { return };
-                if owner.client.free_program(address, &program).await.is_ok() {
+                if owner.engine_client.free_program(address, &program).await.is_ok() {
                     return;
                 }
-                tokio::time::sleep(pause).await;
-                pause *= 2;
+                tokio::time::sleep(backoff).await;
+                backoff *= 2;
             }
-            info!(owner.context.logger, "engine did not free a program's memory";
+            info!(owner.context.logger, "failed to free a program's memory at an engine";
                 "engine" => %engine, "program" => %program);
         });
     }
 
-    /// Loads of all queues here.
+    /// Loads of all queues on this node, ordered by engine name.
     pub(crate) fn loads(&self) -> Vec<(EngineName, EngineLoad)> {
         let owned = self.lock();
         let mut loads: Vec<(EngineName, EngineLoad)> =
-            owned.iter().map(|(engine, one)| (engine.clone(), one.queue.load())).collect();
+            owned.iter().map(|(engine, entry)| (engine.clone(), entry.queue.load())).collect();
         loads.sort_by(|left, right| left.0.cmp(&right.0));
         loads
     }
 
-    /// Lets time pass until the node stops.
+    /// Ticks the queues until the node stops.
     pub(crate) async fn run(self: Arc<Self>) {
-        self.context.every(TICK, || self.tick()).await;
+        self.context.run_every(TICK_INTERVAL, || self.tick()).await;
     }
 
-    /// Adopts a new configuration: other limits, leaving engines, engines that are gone.
+    /// Applies the active configuration to the existing queues. Engines that are leaving or no
+    /// longer configured are drained.
     pub(crate) fn reconfigure(&self) {
         let Some(bundle) = self.configuration.current() else { return };
         let mut owned = self.lock();
-        for (engine, one) in owned.iter_mut() {
+        for (engine, entry) in owned.iter_mut() {
             let found = bundle.engines().find(|(_, configured)| configured.name == *engine);
             let is_leaving = found.is_none_or(|(_, configured)| configured.is_leaving);
             if let Some((pool, _)) = found {
-                one.queue.reconfigure(pool.queue);
+                entry.queue.reconfigure(pool.queue);
             }
-            let effects = one.queue.set_leaving(is_leaving);
-            deliver(one, effects);
+            let effects = entry.queue.set_leaving(is_leaving);
+            deliver_outcomes(entry, effects);
         }
     }
 
@@ -154,66 +155,66 @@
         let now = self.context.now();
         let mut owned = self.lock();
         let mut queued = 0;
-        for one in owned.values_mut() {
-            let effects = one.queue.tick(now);
-            deliver(one, effects);
-            queued += one.queue.load().queued;
+        for entry in owned.values_mut() {
+            let effects = entry.queue.tick(now);
+            deliver_outcomes(entry, effects);
+            queued += entry.queue.load().queued;
         }
         self.context.metrics.engines_owned.set(owned.len() as i64);
         self.context.metrics.calls_queued.set(queued as i64);
     }
 
-    fn queue_of<'a>(
+    fn queue_for<'a>(
         &self,
-        owned: &'a mut HashMap<EngineName, Owned>,
+        owned: &'a mut HashMap<EngineName, OwnedEngine>,
         engine: &EngineName,
-    ) -> Option<&'a mut Owned> {
+    ) -> Option<&'a mut OwnedEngine> {
         if !owned.contains_key(engine) {
             let bundle = self.configuration.current()?;
-            let (pool, configured) = bundle.engines().find(|(_, one)| one.name == *engine)?;
+            let (pool, configured) = bundle.engines().find(|(_, candidate)| candidate.name == *engine)?;
             let mut queue = EngineQueue::new(engine.clone(), pool.queue);
             queue.set_leaving(configured.is_leaving);
-            owned.insert(engine.clone(), Owned { queue, waiting: HashMap::new() });
+            owned.insert(engine.clone(), OwnedEngine { queue, waiters: HashMap::new() });
         }
         owned.get_mut(engine)
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<EngineName, Owned>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<EngineName, OwnedEngine>> {
         self.owned.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn deliver(one: &mut Owned, effects: Vec<QueueEffect>) {
+fn deliver_outcomes(entry: &mut OwnedEngine, effects: Vec<QueueEffect>) {
     for effect in effects {
         let (call, outcome) = match effect {
             QueueEffect::Grant { call } => (call, Ok(())),
             QueueEffect::Refuse { call, problem } => (call, Err(problem)),
         };
-        if let Some(waiter) = one.waiting.remove(&call) {
-            // A waiter that is gone gives the grant back through `ForgetOnDrop`.
+        if let Some(waiter) = entry.waiters.remove(&call) {
+            // A waiter that was dropped frees the grant through `CancelOnDrop`.
             let _ = waiter.send(outcome);
         }
     }
 }
 
-/// Takes a call out of the queue unless its outcome was received.
-struct ForgetOnDrop<'a> {
+/// Cancels an enqueued call on drop, unless its outcome was received.
+struct CancelOnDrop<'a> {
     owner: &'a EngineOwner,
     engine: &'a EngineName,
     call: CallId,
-    is_settled: bool,
+    is_disarmed: bool,
 }
 
-impl ForgetOnDrop<'_> {
-    fn settle(mut self) {
-        self.is_settled = true;
+impl CancelOnDrop<'_> {
+    fn disarm(mut self) {
+        self.is_disarmed = true;
     }
 }
 
-impl Drop for ForgetOnDrop<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if !self.is_settled {
-            self.owner.forget(self.engine, self.call);
+        if !self.is_disarmed {
+            self.owner.cancel_call(self.engine, self.call);
         }
     }
 }
--- a/crates/node/src/engine_router.rs
+++ b/crates/node/src/engine_router.rs
@@ -1,4 +1,4 @@
-//! Finds an engine for a call: asks owners for bids, takes the best, queues there.
+//! Selects an engine for a call by bids from engine owners and enqueues the call there.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,31 +16,29 @@
 use crate::engine_owner::EngineOwner;
 use crate::fleet::Fleet;
 
-/// Engines asked for a bid besides those where context may be.
+/// Random engines asked for a bid, besides the preferred ones.
 const RANDOM_CANDIDATES: usize = 2;
-/// How long an owner is given to bid.
 const BID_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller may try again where no engine takes its call.
+/// Retry-after hint for callers while no engine is available.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Added to a call's time in a queue before an owner counts as lost.
-const ENQUEUE_SLACK: Duration = Duration::from_secs(1);
+/// Margin beyond the call's queue time before its owner is considered unreachable.
+const ENQUEUE_MARGIN: Duration = Duration::from_secs(1);
 
-/// A granted engine.
+/// A slot at an engine, granted to a call.
 #[derive(Debug, Clone)]
 pub(crate) struct Grant {
     pub(crate) engine: EngineName,
     pub(crate) address: SocketAddr,
-    /// The node that granted, which must be told of the end.
+    /// The node that granted the slot and must be told when the call ends.
     pub(crate) owner: NodeId,
     pub(crate) reason: String,
 }
 
-/// Finds engines for calls.
 pub(crate) struct EngineRouter {
     context: Arc<Context>,
     fleet: Arc<Fleet>,
     configuration: Arc<ConfigurationStore>,
-    owner: Arc<EngineOwner>,
+    engine_owner: Arc<EngineOwner>,
 }
 
 impl EngineRouter {
@@ -48,13 +46,14 @@
         context: Arc<Context>,
         fleet: Arc<Fleet>,
         configuration: Arc<ConfigurationStore>,
-        owner: Arc<EngineOwner>,
+        engine_owner: Arc<EngineOwner>,
     ) -> Self {
-        Self { context, fleet, configuration, owner }
+        Self { context, fleet, configuration, engine_owner }
     }
 
-    /// Places a call: resolves when the call may be sent. `preferred` are engines where its context may be,
-    /// `failed` engines that failed it before. `queue_time` is how long it may wait in a queue.
+    /// Selects an engine and waits until its queue grants the call. `preferred` are engines that may have the
+    /// call's context cached, `failed` engines that already failed the call. `queue_time` bounds the time in
+    /// the queue.
     pub(crate) async fn place(
         &self,
         pool: &Pool,
@@ -72,33 +71,33 @@
             bids = self.collect_bids(&usable, &names, &work.prefixes).await;
         }
         let rate = pool.queue.rates.prefill_tokens_per_second;
-        let placement = choose(&bids, &pool.weights, rate).ok_or_else(|| no_engine(pool))?;
-        refuse_hopeless(&placement, queue_time)?;
+        let placement = choose(&bids, &pool.weights, rate).ok_or_else(|| no_engine_available(pool))?;
+        check_queue_time(&placement, queue_time)?;
         self.enqueue(&usable, placement, work, queue_time).await
     }
 
-    /// Tells the owner how a granted call ended.
+    /// Reports the end of a granted call to the owner of its engine.
     pub(crate) fn release(&self, grant: &Grant, release: Release) {
-        if grant.owner == self.context.own.node {
-            self.owner.release(&grant.engine, release);
+        if grant.owner == self.context.own_replica.node {
+            self.engine_owner.release(&grant.engine, release);
         } else if let Some(address) = self.fleet.address_of(grant.owner) {
             let message = OneWay::Release { engine: grant.engine.clone(), release };
             self.context.transport.send(address, message);
         }
     }
 
-    /// Tells engines that a program ended.
+    /// Frees the memory of an ended program at these engines, through their owners.
     pub(crate) fn free_program(&self, program: &ProgramId, engines: &[EngineName]) {
         for engine in engines {
             let Some(zone) = self.configuration.zone_of(engine) else { continue };
             match self.fleet.owner_of(engine, &zone) {
-                Some(owner) if owner != self.context.own.node => {
+                Some(owner) if owner != self.context.own_replica.node => {
                     if let Some(address) = self.fleet.address_of(owner) {
                         let (engine, program) = (engine.clone(), program.clone());
                         self.context.transport.send(address, OneWay::FreeProgram { engine, program });
                     }
                 }
-                _ => self.owner.free_program(engine, program),
+                _ => self.engine_owner.free_program(engine, program),
             }
         }
     }
@@ -115,18 +114,18 @@
                 by_owner.entry(owner).or_default().push(engine.name.clone());
             }
         }
-        let asked = by_owner.into_iter().map(|(owner, engines)| self.ask_for_bids(owner, engines, prefixes));
+        let asked = by_owner.into_iter().map(|(owner, engines)| self.request_bids(owner, engines, prefixes));
         futures::future::join_all(asked).await.into_iter().flatten().collect()
     }
 
-    async fn ask_for_bids(
+    async fn request_bids(
         &self,
         owner: NodeId,
         engines: Vec<EngineName>,
         prefixes: &[ContextPrefix],
     ) -> Vec<Bid> {
-        if owner == self.context.own.node {
-            return self.owner.bids(&engines, prefixes);
+        if owner == self.context.own_replica.node {
+            return self.engine_owner.bids(&engines, prefixes);
         }
         let Some(address) = self.fleet.address_of(owner) else { return Vec::new() };
         let request = Request::Engine(EngineRequest::Bid { engines, prefixes: prefixes.to_vec() });
@@ -145,49 +144,50 @@
     ) -> Result<Grant, Problem> {
         let name = placement.bid.engine;
         let engine = usable.iter().find(|engine| engine.name == name);
-        let engine = engine.ok_or_else(|| lost_owner(&name))?;
-        let owner = self.fleet.owner_of(&name, &engine.zone).ok_or_else(|| lost_owner(&name))?;
-        if owner == self.context.own.node {
-            self.owner.enqueue(&name, work.clone()).await?;
+        let engine = engine.ok_or_else(|| owner_unreachable(&name))?;
+        let owner = self.fleet.owner_of(&name, &engine.zone).ok_or_else(|| owner_unreachable(&name))?;
+        if owner == self.context.own_replica.node {
+            self.engine_owner.enqueue(&name, work.clone()).await?;
         } else {
-            self.enqueue_at(owner, &name, work, queue_time).await?;
+            self.enqueue_remote(owner, &name, work, queue_time).await?;
         }
         Ok(Grant { engine: name, address: engine.address, owner, reason: placement.reason })
     }
 
-    async fn enqueue_at(
+    async fn enqueue_remote(
         &self,
         owner: NodeId,
         engine: &EngineName,
         work: &Work,
         queue_time: Duration,
     ) -> Result<(), Problem> {
-        let address = self.fleet.address_of(owner).ok_or_else(|| lost_owner(engine))?;
+        let address = self.fleet.address_of(owner).ok_or_else(|| owner_unreachable(engine))?;
         let request = EngineRequest::Enqueue { engine: engine.clone(), work: Box::new(work.clone()) };
-        let timeout = queue_time + ENQUEUE_SLACK;
+        let timeout = queue_time + ENQUEUE_MARGIN;
         match self.context.transport.request(address, Request::Engine(request), timeout).await {
             Ok(Response::Engine(EngineReply::Granted)) => Ok(()),
             Ok(Response::Failed(problem)) => Err(problem),
             _ => {
-                // The grant may be on its way; give it back so that the engine's slot is not lost.
+                // The grant may be on its way; cancel the call so that the engine's slot isn't leaked.
                 let forget = OneWay::Forget { engine: engine.clone(), call: work.call };
                 self.context.transport.send(address, forget);
-                Err(lost_owner(engine))
+                Err(owner_unreachable(engine))
             }
         }
     }
 }
 
-/// Engines that may get the call: those that have not failed it, or, where none is left, all that stay.
+/// Engines that aren't draining and haven't failed the call. If all of them have failed it, all that aren't
+/// draining.
 fn usable_engines<'a>(pool: &'a Pool, failed: &[EngineName]) -> Vec<&'a Engine> {
-    let staying: Vec<&Engine> = pool.engines.iter().filter(|engine| !engine.is_leaving).collect();
+    let available: Vec<&Engine> = pool.engines.iter().filter(|engine| !engine.is_leaving).collect();
     let untried: Vec<&Engine> =
-        staying.iter().copied().filter(|engine| !failed.contains(&engine.name)).collect();
-    if untried.is_empty() { staying } else { untried }
+        available.iter().copied().filter(|engine| !failed.contains(&engine.name)).collect();
+    if untried.is_empty() { available } else { untried }
 }
 
-/// Refuses at the door what can't begin before its deadline, instead of letting it wait in vain.
-fn refuse_hopeless(placement: &Placement, queue_time: Duration) -> Result<(), Problem> {
+/// Rejects a call whose first token is expected after its queue time has run out.
+fn check_queue_time(placement: &Placement, queue_time: Duration) -> Result<(), Problem> {
     let expected = placement.bid.estimate.first_token_seconds;
     if expected <= queue_time.as_secs_f64() {
         return Ok(());
@@ -197,12 +197,12 @@
     Err(Problem::not_run(ResultCode::Overloaded, detail).with_retry_after(wait))
 }
 
-fn no_engine(pool: &Pool) -> Problem {
-    let detail = format!("no engine of pool {} takes a call at the moment", pool.name);
+fn no_engine_available(pool: &Pool) -> Problem {
+    let detail = format!("no engine of pool {} is accepting calls", pool.name);
     Problem::not_run(ResultCode::NoEngine, detail).with_retry_after(RETRY_AFTER)
 }
 
-fn lost_owner(engine: &EngineName) -> Problem {
-    let detail = format!("the node that queues for engine {engine} can't be reached");
+fn owner_unreachable(engine: &EngineName) -> Problem {
+    let detail = format!("the node that owns the queue of engine {engine} is unreachable");
     Problem::not_run(ResultCode::PeerUnreachable, detail).with_retry_after(RETRY_AFTER)
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Drives the membership protocol and answers questions about the fleet.
+//! Runs the membership protocol and caches the member list for the rest of the node.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 
 use crate::context::Context;
 
-/// How often the membership protocol is given the time.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between ticks of the failure detector.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Replaced lives that are remembered.
-const MAX_REPLACED: usize = 4096;
+/// Bound on the replaced incarnations that are remembered.
+const MAX_REPLACED_INCARNATIONS: usize = 4096;
 
-/// The fleet as this node sees it.
+/// Membership of the fleet as seen by this node.
 pub(crate) struct Fleet {
     context: Arc<Context>,
     detector: Mutex<Detector>,
@@ -32,85 +32,84 @@
     newer_generations: mpsc::UnboundedSender<(NodeId, Generation)>,
 }
 
-/// A snapshot of the members, with what is derived from it.
+/// The member list and data derived from it. Replaced as a whole on each membership event.
 #[derive(Default)]
 struct View {
     directory: Directory,
-    /// Lives that a later life of the same node has replaced.
+    /// Dead incarnations of nodes that have restarted since.
     replaced: BTreeSet<ReplicaId>,
+    /// Cache of [`Fleet::owner_of`].
     owners: Mutex<HashMap<EngineName, Option<NodeId>>>,
 }
 
 impl Fleet {
-    /// Membership of a node that knows only itself. Peers with a newer configuration are reported to
+    /// Starts with this node as the only member. Peers with a newer configuration are sent to
     /// `newer_generations`.
     pub(crate) fn new(
         context: Arc<Context>,
-        own: Member,
+        own_member: Member,
         newer_generations: mpsc::UnboundedSender<(NodeId, Generation)>,
     ) -> Self {
         let seeds = context.settings.fleet.seeds.clone();
-        let detector = Detector::new(own, seeds, MembershipSettings::default(), context.seed());
+        let detector = Detector::new(own_member, seeds, MembershipSettings::default(), context.random_seed());
         let view = View { directory: detector.directory().clone(), ..View::default() };
         Self { context, detector: Mutex::new(detector), view: RwLock::new(Arc::new(view)), newer_generations }
     }
 
-    /// Lets time pass until the node stops.
+    /// Ticks the failure detector until the node stops.
     pub(crate) async fn run(self: Arc<Self>) {
         let tick = || {
             let now = self.context.now();
             let mut detector = self.lock();
             detector.tick(now);
-            self.carry_out(detector);
+            self.apply_effects(detector);
         };
-        self.context.every(TICK, tick).await;
+        self.context.run_every(TICK_INTERVAL, tick).await;
     }
 
-    /// Takes a message of the membership protocol.
     pub(crate) fn receive(&self, envelope: Envelope) {
         let now = self.context.now();
         let mut detector = self.lock();
         detector.receive(envelope, now);
-        self.carry_out(detector);
+        self.apply_effects(detector);
     }
 
-    /// Announces the planned stop of this node.
-    pub(crate) fn leave(&self) {
+    /// Announces that this node is shutting down.
+    pub(crate) fn announce_leave(&self) {
         let mut detector = self.lock();
         detector.leave();
-        self.carry_out(detector);
+        self.apply_effects(detector);
     }
 
-    /// Notes the generation in force here.
+    /// Sets the configuration generation that this node announces to its peers.
     pub(crate) fn set_generation(&self, generation: Generation) {
         let mut detector = self.lock();
         detector.set_generation(generation);
-        self.carry_out(detector);
+        self.apply_effects(detector);
     }
 
-    /// Where a node can be reached.
     pub(crate) fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         self.view().directory.get(node).map(|member| member.address)
     }
 
-    /// Whether a runner's process is not known to be dead.
+    /// Whether the runner's incarnation is not known to be dead.
     pub(crate) fn is_alive(&self, runner: Runner) -> bool {
         self.view().directory.is_alive(runner.node, runner.incarnation)
     }
 
-    /// All members known.
+    /// All known members, whatever their state.
     pub(crate) fn members(&self) -> Vec<Member> {
         self.view().directory.iter().cloned().collect()
     }
 
-    /// Addresses of all other live nodes.
+    /// Addresses of all live nodes other than this one.
     pub(crate) fn live_peers(&self) -> Vec<SocketAddr> {
-        let own = self.context.own.node;
+        let own_node = self.context.own_replica.node;
         let view = self.view();
-        view.directory.live().filter(|member| member.node != own).map(|member| member.address).collect()
+        view.directory.live().filter(|member| member.node != own_node).map(|member| member.address).collect()
     }
 
-    /// The fleet as leaders of shards see it when they look after their replicas.
+    /// Nodes that may receive replicas and nodes that must give theirs up, for replica repair.
     pub(crate) fn replica_view(&self) -> FleetView {
         let view = self.view();
         let usable = view.directory.usable(RoleSet::PROGRAMS);
@@ -120,8 +119,8 @@
         FleetView { usable, departed }
     }
 
-    /// Nodes that may hold replicas of a shard, the likeliest first.
-    pub(crate) fn likely_holders(&self, shard: u32) -> Vec<NodeId> {
+    /// Live nodes that may hold a replica of the shard, in order of decreasing placement preference.
+    pub(crate) fn replica_candidates(&self, shard: u32) -> Vec<NodeId> {
         let view = self.view();
         let live = view.directory.live().filter(|member| member.roles.contains(RoleSet::PROGRAMS));
         let candidates: Vec<Candidate> = live.map(to_candidate).collect();
@@ -129,7 +128,7 @@
         chosen.into_iter().map(|candidate| candidate.replica.node).collect()
     }
 
-    /// The node that owns an engine: one of the engine's own zone, if there is one.
+    /// The node that runs the engine's queue. Nodes of the engine's own zone take precedence over others.
     pub(crate) fn owner_of(&self, engine: &EngineName, zone: &ZoneName) -> Option<NodeId> {
         let view = self.view();
         let mut owners = view.owners.lock().unwrap_or_else(PoisonError::into_inner);
@@ -149,13 +148,16 @@
         Arc::clone(&self.view.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn carry_out(&self, mut detector: MutexGuard<'_, Detector>) {
+    fn apply_effects(&self, mut detector: MutexGuard<'_, Detector>) {
         let effects = detector.take_effects();
         let is_changed = effects.iter().any(|effect| matches!(effect, Effect::Event(_)));
         if is_changed {
             let directory = detector.directory().clone();
-            let view =
-                View { replaced: self.replaced_lives(&directory, &effects), directory, ..View::default() };
+            let view = View {
+                replaced: self.replaced_incarnations(&directory, &effects),
+                directory,
+                ..View::default()
+            };
             self.context.metrics.members_live.set(view.directory.live().count() as i64);
             *self.view.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(view);
         }
@@ -165,13 +167,13 @@
                 Effect::Send { to, envelope } => {
                     self.context.transport.send(to, OneWay::Membership(envelope))
                 }
-                Effect::Event(event) => self.note(event),
+                Effect::Event(event) => self.handle_event(event),
             }
         }
     }
 
-    /// Lives known to have been replaced: those of before, and those that went down and have a successor.
-    fn replaced_lives(&self, directory: &Directory, effects: &[Effect]) -> BTreeSet<ReplicaId> {
+    /// Adds incarnations that just went down and have a successor to those already known as replaced.
+    fn replaced_incarnations(&self, directory: &Directory, effects: &[Effect]) -> BTreeSet<ReplicaId> {
         let mut replaced = self.view().replaced.clone();
         for effect in effects {
             let Effect::Event(Event::Down { node, incarnation }) = effect else { continue };
@@ -179,24 +181,26 @@
                 replaced.insert(ReplicaId { node: *node, incarnation: *incarnation });
             }
         }
-        while replaced.len() > MAX_REPLACED {
+        while replaced.len() > MAX_REPLACED_INCARNATIONS {
             replaced.pop_first();
         }
         replaced
     }
 
-    fn note(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let logger = &self.context.logger;
         match event {
             Event::Up(member) => info!(logger, "node is up";
                 "peer" => member.node.0, "incarnation" => member.incarnation.0, "zone" => %member.zone),
-            Event::Suspected(member) => info!(logger, "node does not answer"; "peer" => member.node.0),
-            Event::Down { node, incarnation } => warn!(logger, "node is taken for dead";
+            Event::Suspected(member) => {
+                info!(logger, "node is suspected to be down"; "peer" => member.node.0)
+            }
+            Event::Down { node, incarnation } => warn!(logger, "node is considered dead";
                 "peer" => node.0, "incarnation" => incarnation.0),
             Event::Leaving(member) => info!(logger, "node is leaving"; "peer" => member.node.0),
-            Event::OwnDeathRefuted => warn!(logger, "others took this node for dead; it refuted that"),
+            Event::OwnDeathRefuted => warn!(logger, "this node was reported dead; refuted the report"),
             Event::Replaced => {
-                warn!(logger, "a later life of this node exists; this one stops");
+                warn!(logger, "a later incarnation of this node exists; stopping");
                 self.context.stopped.cancel();
             }
             Event::NewerGeneration { peer, generation } => {
--- a/crates/node/src/founding.rs
+++ b/crates/node/src/founding.rs
@@ -1,8 +1,8 @@
-//! Founding the fleet, or joining one that exists.
+//! Fleet bootstrap: creates a new fleet or joins an existing one.
 //!
-//! A fleet whose machines keep nothing can't remember whether it was founded before. So a fleet is founded only
-//! when every founding node named in the settings is present and none of them knows of a fleet; a node that
-//! meets any member of a fleet joins that one.
+//! Nodes keep nothing on disk, so a restarted fleet can't tell whether it was bootstrapped before. A fleet is
+//! therefore created only when every founding node named in the settings is present and none of them knows of
+//! a fleet. A node that reaches any member of a fleet joins it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,17 +17,15 @@
 use crate::shard_client::ShardClient;
 use crate::shard_host::ShardHost;
 
-/// Pause between two rounds of questions.
-const ROUND_PAUSE: Duration = Duration::from_millis(100);
-/// How long a node is given to answer.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What this node knows of the fleet's founding.
+/// Tracks which fleet this node belongs to.
 pub(crate) struct FoundingState {
     context: Arc<Context>,
     fleet: Arc<Fleet>,
-    host: Arc<ShardHost>,
-    client: Arc<ShardClient>,
+    shard_host: Arc<ShardHost>,
+    shard_client: Arc<ShardClient>,
     founding: Mutex<Option<Founding>>,
 }
 
@@ -35,18 +33,18 @@
     pub(crate) fn new(
         context: Arc<Context>,
         fleet: Arc<Fleet>,
-        host: Arc<ShardHost>,
-        client: Arc<ShardClient>,
+        shard_host: Arc<ShardHost>,
+        shard_client: Arc<ShardClient>,
     ) -> Self {
-        Self { context, fleet, host, client, founding: Mutex::new(None) }
+        Self { context, fleet, shard_host, shard_client, founding: Mutex::new(None) }
     }
 
-    /// The founding, where it is known.
+    /// The fleet's bootstrap record; `None` until this node has joined.
     pub(crate) fn current(&self) -> Option<Founding> {
         self.founding.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Takes over a founding, unless one is known already.
+    /// Joins a fleet. Does nothing if this node already belongs to one.
     pub(crate) fn adopt(&self, founding: Founding) {
         {
             let mut current = self.founding.lock().unwrap_or_else(PoisonError::into_inner);
@@ -55,56 +53,57 @@
             }
             *current = Some(founding.clone());
         }
-        info!(self.context.logger, "belongs to a fleet"; "fleet" => founding.fleet,
+        info!(self.context.logger, "joined the fleet"; "fleet" => founding.fleet,
             "shards" => founding.shards);
-        self.host.found(&founding);
-        self.client.set_shards(founding.shards);
+        self.shard_host.create_founding_replicas(&founding);
+        self.shard_client.set_shard_count(founding.shards);
     }
 
-    /// Asks the seeds and all known members until the node belongs to a fleet.
+    /// Queries the seeds and all known members until the node belongs to a fleet.
     pub(crate) async fn run(self: Arc<Self>) {
         while self.current().is_none() {
-            let answers = self.ask_all().await;
+            let answers = self.query_peers().await;
             if let Some(founding) = answers.iter().find_map(|answer| answer.founding.clone()) {
                 self.adopt(founding);
-            } else if let Some(founding) = self.try_found(&answers) {
+            } else if let Some(founding) = self.propose_founding(&answers) {
                 self.adopt(founding.clone());
-                self.tell(founding).await;
+                self.announce(founding).await;
             }
             tokio::select! {
                 () = self.context.stopped.cancelled() => return,
-                () = tokio::time::sleep(ROUND_PAUSE) => {}
+                () = tokio::time::sleep(ROUND_INTERVAL) => {}
             }
         }
     }
 
-    async fn ask_all(&self) -> Vec<Answer> {
+    async fn query_peers(&self) -> Vec<PeerAnswer> {
         let mut addresses = self.context.settings.fleet.seeds.clone();
         addresses.extend(self.fleet.live_peers());
         addresses.sort();
         addresses.dedup();
-        let own = self.fleet.address_of(self.context.own.node);
-        addresses.retain(|address| Some(*address) != own);
-        let asked = addresses.into_iter().map(|address| self.ask(address));
+        let own_address = self.fleet.address_of(self.context.own_replica.node);
+        addresses.retain(|address| Some(*address) != own_address);
+        let asked = addresses.into_iter().map(|address| self.query_peer(address));
         futures::future::join_all(asked).await.into_iter().flatten().collect()
     }
 
-    async fn ask(&self, address: SocketAddr) -> Option<Answer> {
+    async fn query_peer(&self, address: SocketAddr) -> Option<PeerAnswer> {
         let request = Request::Fleet(FleetRequest::Hello);
         match self.context.transport.request(address, request, ANSWER_TIMEOUT).await {
             Ok(Response::Fleet(FleetReply::Hello { replica, founding })) => {
-                Some(Answer { node: replica.node, founding })
+                Some(PeerAnswer { node: replica.node, founding })
             }
             _ => None,
         }
     }
 
-    /// Founds the fleet if this node is the first founder and all the others are there and know of none.
-    fn try_found(&self, answers: &[Answer]) -> Option<Founding> {
+    /// Returns a new bootstrap record if this node is the first founder, all the others answered and the
+    /// member list contains all of them. The caller has checked that none of them knows of a fleet.
+    fn propose_founding(&self, answers: &[PeerAnswer]) -> Option<Founding> {
         let founders = &self.context.settings.fleet.founders;
-        let own = self.context.own.node;
-        let is_first = founders.first() == Some(&own);
-        let answered = |node: &NodeId| *node == own || answers.iter().any(|answer| answer.node == *node);
+        let own_node = self.context.own_replica.node;
+        let is_first = founders.first() == Some(&own_node);
+        let answered = |node: &NodeId| *node == own_node || answers.iter().any(|answer| answer.node == *node);
         if !is_first || !founders.iter().all(answered) {
             return None;
         }
@@ -117,22 +116,22 @@
             present.push(Founder { replica, zone: member.zone.clone() });
         }
         let shards = self.context.settings.fleet.shards;
-        Some(Founding { fleet: self.context.seed(), shards, founders: present })
+        Some(Founding { fleet: self.context.random_seed(), shards, founders: present })
     }
 
-    async fn tell(&self, founding: Founding) {
+    async fn announce(&self, founding: Founding) {
         for founder in &founding.founders {
             let Some(address) = self.fleet.address_of(founder.replica.node) else { continue };
-            if founder.replica != self.context.own {
+            if founder.replica != self.context.own_replica {
                 let request = Request::Fleet(FleetRequest::Found(founding.clone()));
-                // Who does not hear of it here finds out by asking.
+                // A founder that misses this request learns of the fleet by its own queries.
                 let _ = self.context.transport.request(address, request, ANSWER_TIMEOUT).await;
             }
         }
     }
 }
 
-struct Answer {
+struct PeerAnswer {
     node: NodeId,
     founding: Option<Founding>,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,16 +1,16 @@
-//! The node: wires the decision crates to clock, sockets and tasks.
+//! The node process: connects the I/O-free decision crates to clocks, sockets and tasks.
 //!
-//! Decisions are made elsewhere, in crates without input or output; what stands here carries messages and
-//! effects between them. [`Node::start`] is the one place where everything is put together.
+//! Scheduling, membership and replication decisions are made in other crates; this one delivers messages to
+//! them and applies their effects. [`Node::start`] is the entry point.
 
 mod admin;
-mod calls;
-mod chat_attempts;
+mod attempt_outcome;
 mod chat_runner;
 mod clock;
+mod components;
 mod configuration;
 mod context;
-mod dispatch;
+mod dispatcher;
 mod engine_owner;
 mod engine_router;
 mod fleet;
@@ -19,8 +19,8 @@
 mod memory_check;
 mod metrics;
 mod node;
-mod parts;
 mod peer_handler;
+mod running_calls;
 mod service_runner;
 mod shard_client;
 mod shard_host;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,22 +1,22 @@
-//! Logs: JSON lines on standard error.
+//! JSON logging to standard error.
 
 use std::sync::Mutex;
 
 use slog::{Drain, Level, LevelFilter, Logger, o};
 use sumacdrift_config::LogLevel;
 
-/// Records that may wait for a slow reader of the log before further ones are counted and dropped.
-const QUEUE_RECORDS: usize = 8192;
+/// Bound on queued records; further ones are dropped and counted.
+const LOG_QUEUE_CAPACITY: usize = 8192;
 
-/// A logger that writes JSON lines to standard error, from a thread of its own so that a slow reader of the log
-/// slows no call.
+/// A logger that writes JSON lines to standard error. A separate thread writes them, so a slow reader of the
+/// log doesn't delay calls.
 pub fn json_logger(level: LogLevel) -> Logger {
     let json = slog_json::Json::new(std::io::stderr()).add_default_keys().set_flush(true).build();
-    let drain = slog_async::Async::new(Mutex::new(json).fuse()).chan_size(QUEUE_RECORDS).build();
+    let drain = slog_async::Async::new(Mutex::new(json).fuse()).chan_size(LOG_QUEUE_CAPACITY).build();
     Logger::root(LevelFilter::new(drain, to_slog(level)).fuse(), o!())
 }
 
-/// A logger that drops everything.
+/// A logger that discards all records.
 pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `sumacdrift`: the node.
+//! The `sumacdrift` binary: runs a node or validates its settings.
 
 use std::process::ExitCode;
 
@@ -7,15 +7,15 @@
 use sumacdrift_node::{Node, StartOptions, json_logger};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit status where the settings have mistakes.
-const EXIT_MISTAKES: u8 = 2;
+/// Exit status for invalid settings or command-line arguments.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
     match matches.subcommand() {
         Some(("run", arguments)) => run(arguments),
         Some(("check", arguments)) => check(arguments),
-        _ => ExitCode::from(EXIT_MISTAKES),
+        _ => ExitCode::from(EXIT_INVALID_INPUT),
     }
 }
 
@@ -25,23 +25,26 @@
         .value_name("FILE")
         .required(true)
         .help("The node's settings file (TOML)");
-    let callers = address_flag("callers", "Address for callers, instead of the file's");
-    let peers = address_flag("peers", "Address for other nodes, instead of the file's");
-    let admin = address_flag("admin", "Address for operators, instead of the file's");
-    let zone = Arg::new("zone").long("zone").value_name("ZONE").help("Zone, instead of the file's");
+    let callers = address_flag("callers", "Listen address for API clients; overrides the settings file");
+    let peers = address_flag("peers", "Listen address for other nodes; overrides the settings file");
+    let admin = address_flag("admin", "Listen address for operators; overrides the settings file");
+    let zone = Arg::new("zone")
+        .long("zone")
+        .value_name("ZONE")
+        .help("Zone of the node; overrides the settings file");
     Command::new("sumacdrift")
         .version(clap::crate_version!())
         .about("A node of the sumacdrift scheduler for agent programs")
         .subcommand_required(true)
         .subcommand(
             Command::new("run")
-                .about("Run the node until SIGTERM or SIGINT, which stop it as planned")
+                .about("Run the node; SIGTERM or SIGINT shuts it down gracefully")
                 .arg(settings.clone())
                 .args([callers, peers, admin, zone]),
         )
         .subcommand(
             Command::new("check")
-                .about("Report every mistake in the settings and the bundle file they name")
+                .about("Report every error in the settings file and the bundle file that it names")
                 .arg(settings),
         )
 }
@@ -56,34 +59,34 @@
 
 fn read_settings(arguments: &ArgMatches) -> Result<Settings, String> {
     let file = arguments.get_one::<String>("settings").map(String::as_str).unwrap_or_default();
-    let text = std::fs::read_to_string(file).map_err(|error| format!("can't read {file}: {error}"))?;
-    Settings::parse(file, &text).map_err(|mistakes| mistakes.to_string())
+    let text = std::fs::read_to_string(file).map_err(|error| format!("failed to read {file}: {error}"))?;
+    Settings::parse(file, &text).map_err(|errors| errors.to_string())
 }
 
 fn check(arguments: &ArgMatches) -> ExitCode {
-    let mut mistakes = Vec::new();
+    let mut errors = Vec::new();
     match read_settings(arguments) {
-        Err(found) => mistakes.push(found),
+        Err(found) => errors.push(found),
         Ok(settings) => {
             if let Some(file) = settings.platform.bundle_file {
-                mistakes.extend(check_bundle(&file));
+                errors.extend(check_bundle(&file));
             }
         }
     }
-    if mistakes.is_empty() {
-        println!("no mistakes");
+    if errors.is_empty() {
+        println!("no errors found");
         return ExitCode::SUCCESS;
     }
-    for mistake in mistakes {
-        eprintln!("{mistake}");
+    for error in errors {
+        eprintln!("{error}");
     }
-    ExitCode::from(EXIT_MISTAKES)
+    ExitCode::from(EXIT_INVALID_INPUT)
 }
 
 fn check_bundle(file: &str) -> Option<String> {
     match std::fs::read_to_string(file) {
-        Err(error) => Some(format!("can't read {file}: {error}")),
-        Ok(text) => Bundle::parse(file, &text).err().map(|mistakes| mistakes.to_string()),
+        Err(error) => Some(format!("failed to read {file}: {error}")),
+        Ok(text) => Bundle::parse(file, &text).err().map(|errors| errors.to_string()),
     }
 }
 
@@ -111,16 +114,16 @@
     });
     let settings = match settings {
         Ok(settings) => settings,
-        Err(mistakes) => {
-            eprintln!("{mistakes}");
-            return ExitCode::from(EXIT_MISTAKES);
+        Err(errors) => {
+            eprintln!("{errors}");
+            return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     match runtime {
         Ok(runtime) => runtime.block_on(run_node(settings)),
         Err(error) => {
-            eprintln!("can't start the runtime: {error}");
+            eprintln!("failed to start the async runtime: {error}");
             ExitCode::FAILURE
         }
     }
@@ -143,7 +146,7 @@
     if node.stop().await { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Waits for SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT. Never returns if the signal handlers can't be installed.
 async fn stop_signal() {
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
--- a/crates/node/src/memory_check.rs
+++ b/crates/node/src/memory_check.rs
@@ -1,8 +1,8 @@
-//! Frees engine memory of programs that are gone, whatever was missed when they ended.
+//! Periodically frees engine memory of programs that have ended.
 //!
-//! An ended program's leader tells the engines that it knows of. A node that died while an engine ran its call
-//! took the knowledge of that engine with it, so owners also ask their engines, now and then, for whom they hold
-//! memory, and the leaders which of those programs are gone.
+//! When a program ends, its leader tells the engines that it knows of. If a node dies while an engine runs a
+//! call for it, the leader may not know of that engine. Owners therefore ask their engines which programs
+//! they hold memory for, and ask the leaders which of these have ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,51 +11,52 @@
 use sumacdrift_engine_client::EngineClient;
 use sumacdrift_types::{EngineName, ProgramId};
 
-use crate::chat_runner::NO_PROGRAM;
-use crate::parts::Parts;
+use crate::chat_runner::SINGLE_CALL_PROGRAM;
+use crate::components::Components;
 
-/// How long leaders are asked for one engine.
-const ASK_TIME: Duration = Duration::from_secs(5);
+/// Bound on asking the shard leaders about the programs of one engine.
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Compares what engines hold with what programs there are.
+/// Frees memory that owned engines hold for ended programs.
 pub(crate) struct MemoryCheck {
-    pub(crate) parts: Arc<Parts>,
-    pub(crate) engines: EngineClient,
+    pub(crate) components: Arc<Components>,
+    pub(crate) engine_client: EngineClient,
 }
 
 impl MemoryCheck {
-    /// Checks all engines owned here, again and again until the node stops.
+    /// Checks all owned engines at the configured interval until the node stops.
     pub(crate) async fn run(self) {
         loop {
             tokio::select! {
-                () = self.parts.context.stopped.cancelled() => return,
-                () = tokio::time::sleep(self.parts.context.settings.fleet.memory_check) => {}
+                () = self.components.context.stopped.cancelled() => return,
+                () = tokio::time::sleep(self.components.context.settings.fleet.memory_check) => {}
             }
             for engine in self.owned_engines() {
-                self.check(&engine).await;
+                self.check_engine(&engine).await;
             }
         }
     }
 
     fn owned_engines(&self) -> Vec<EngineName> {
-        let Some(bundle) = self.parts.configuration.current() else { return Vec::new() };
-        let own = Some(self.parts.context.own.node);
+        let Some(bundle) = self.components.configuration.current() else { return Vec::new() };
+        let own_node = Some(self.components.context.own_replica.node);
         let engines = bundle.engines().map(|(_, engine)| engine);
-        let owned = engines.filter(|engine| self.parts.fleet.owner_of(&engine.name, &engine.zone) == own);
+        let owned =
+            engines.filter(|engine| self.components.fleet.owner_of(&engine.name, &engine.zone) == own_node);
         owned.map(|engine| engine.name.clone()).collect()
     }
 
-    async fn check(&self, engine: &EngineName) {
-        let Some(address) = self.parts.configuration.address_of(engine) else { return };
-        let Ok(mut held) = self.engines.list_programs(address).await else { return };
-        // Calls without program share their contexts, and their memory ends only by eviction.
-        held.retain(|program| program.as_str() != NO_PROGRAM);
-        let give_up = self.parts.context.now() + ASK_TIME;
-        let gone: Vec<ProgramId> = self.parts.client.list_gone(held, give_up).await;
-        for program in gone {
-            info!(self.parts.context.logger, "engine held memory for a program that is gone";
+    async fn check_engine(&self, engine: &EngineName) {
+        let Some(address) = self.components.configuration.address_of(engine) else { return };
+        let Ok(mut held) = self.engine_client.list_programs(address).await else { return };
+        // Calls without a program share one name; their memory is freed only by eviction.
+        held.retain(|program| program.as_str() != SINGLE_CALL_PROGRAM);
+        let deadline = self.components.context.now() + LOOKUP_TIMEOUT;
+        let ended: Vec<ProgramId> = self.components.shard_client.find_ended_programs(held, deadline).await;
+        for program in ended {
+            info!(self.components.context.logger, "freeing engine memory of an ended program";
                 "engine" => %engine, "program" => %program);
-            self.parts.owner.free_program(engine, &program);
+            self.components.engine_owner.free_program(engine, &program);
         }
     }
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -11,12 +11,11 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Smallest bucket of the time histograms, in seconds.
+/// Upper bound of the smallest latency bucket, in seconds.
 const SMALLEST_BUCKET: f64 = 0.000_5;
-/// Ratio of neighbouring buckets.
 const BUCKET_RATIO: f64 = 2.0;
-/// Number of buckets; the largest is about 17 minutes.
-const BUCKETS: u16 = 22;
+/// The largest bucket ends at about 17 minutes.
+const BUCKET_COUNT: u16 = 22;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CodeLabel {
@@ -26,7 +25,7 @@
 type IntegerGauge = Gauge<i64, AtomicI64>;
 type IntegerCounter = Counter<u64, AtomicU64>;
 
-/// All metrics of a node.
+/// Prometheus metrics of a node.
 pub(crate) struct Metrics {
     registry: Registry,
     pub(crate) turns: IntegerCounter,
@@ -54,7 +53,7 @@
 }
 
 fn time_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(SMALLEST_BUCKET, BUCKET_RATIO, BUCKETS))
+    Histogram::new(exponential_buckets(SMALLEST_BUCKET, BUCKET_RATIO, BUCKET_COUNT))
 }
 
 impl Metrics {
@@ -91,36 +90,36 @@
 
     fn register_counters(&mut self) {
         let counters = [
-            ("turns", "Turns that ran to their end", &self.turns),
-            ("replays", "Answers given again from the history or the ledger", &self.replays),
-            ("retries", "Attempts after the first", &self.retries),
+            ("turns", "Completed turns", &self.turns),
+            ("replays", "Answers replayed from the history or the ledger", &self.replays),
+            ("retries", "Retried attempts", &self.retries),
             ("output_tokens", "Tokens generated", &self.output_tokens),
-            ("prompt_tokens", "Tokens of prompts", &self.prompt_tokens),
-            ("cached_tokens", "Tokens of prompts that engines found in their caches", &self.cached_tokens),
-            ("service_calls", "Calls of plain services that ran", &self.service_calls),
+            ("prompt_tokens", "Prompt tokens", &self.prompt_tokens),
+            ("cached_tokens", "Prompt tokens served from engine caches", &self.cached_tokens),
+            ("service_calls", "Calls to plain services", &self.service_calls),
         ];
         for (name, help, counter) in counters {
             self.registry.register(name, help, counter.clone());
         }
-        let help = "Problems given to callers, by result code";
+        let help = "Problems returned to callers, by result code";
         self.registry.register("problems", help, self.problems.clone());
         let help = "Seconds from a turn's arrival to its first token";
         self.registry.register("first_token_seconds", help, self.first_token_seconds.clone());
-        let help = "Seconds from a turn's arrival to its end";
+        let help = "Seconds from a turn's arrival to its completion";
         self.registry.register("turn_seconds", help, self.turn_seconds.clone());
     }
 
     fn register_gauges(&mut self) {
         let gauges = [
-            ("calls_running", "Calls under way", &self.calls_running),
-            ("members_live", "Nodes that are not taken for dead", &self.members_live),
-            ("shards_held", "Program shards with a replica here", &self.shards_held),
-            ("shards_led", "Program shards led here", &self.shards_led),
-            ("programs_held", "Programs in the shards held here", &self.programs_held),
-            ("log_bytes", "Payload bytes in the replicated logs held here", &self.log_bytes),
-            ("engines_owned", "Engines with a queue here", &self.engines_owned),
-            ("calls_queued", "Calls that wait for an engine here", &self.calls_queued),
-            ("generation", "Generation of the configuration in force", &self.generation),
+            ("calls_running", "Calls in flight", &self.calls_running),
+            ("members_live", "Nodes that are not considered dead", &self.members_live),
+            ("shards_held", "Program shards with a replica on this node", &self.shards_held),
+            ("shards_led", "Program shards led by this node", &self.shards_led),
+            ("programs_held", "Programs in the shards held by this node", &self.programs_held),
+            ("log_bytes", "Payload bytes in the replicated logs held by this node", &self.log_bytes),
+            ("engines_owned", "Engines with a queue on this node", &self.engines_owned),
+            ("calls_queued", "Calls queued for an engine on this node", &self.calls_queued),
+            ("generation", "Generation of the active configuration", &self.generation),
             ("peer_sent_bytes", "Bytes sent to other nodes", &self.peer_sent_bytes),
             ("peer_received_bytes", "Bytes received from other nodes", &self.peer_received_bytes),
             ("peer_sent_messages", "Messages sent to other nodes", &self.peer_sent_messages),
@@ -130,19 +129,19 @@
         }
     }
 
-    /// Counts a problem given to a caller.
-    pub(crate) fn problem(&self, problem: &sumacdrift_types::Problem) {
+    /// Counts a problem returned to a caller.
+    pub(crate) fn record_problem(&self, problem: &sumacdrift_types::Problem) {
         self.problems.get_or_create(&CodeLabel { code: problem.code.number() }).inc();
     }
 
-    /// Notes the time of a finished turn.
-    pub(crate) fn turn_finished(&self, duration: Duration) {
+    /// Records a completed turn and its duration.
+    pub(crate) fn record_turn(&self, duration: Duration) {
         self.turns.inc();
         self.turn_seconds.observe(duration.as_secs_f64());
     }
 
-    /// All metrics as text.
-    pub(crate) fn text(&self) -> String {
+    /// Encodes all metrics in the OpenMetrics text format.
+    pub(crate) fn encode_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
         let _ = encode(&mut text, &self.registry);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts a node together, starts it and stops it.
+//! Starts and stops a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,89 +15,76 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::admin::{self, Admin};
+use crate::admin::{self, AdminState};
+use crate::components::{Components, NewerGenerations};
 use crate::memory_check::MemoryCheck;
-use crate::parts::{NewerGenerations, Parts};
 use crate::peer_handler::PeerHandler;
 
-/// How long a planned stop waits for its announcement to spread before it stops taking connections.
-const LEAVE_TIME: Duration = Duration::from_millis(300);
-/// How long a planned stop tries to hand over the shards that it leads.
-const HAND_OVER_TIME: Duration = Duration::from_secs(5);
-/// How long a planned stop waits to be taken out of its groups.
-const LEAVE_GROUPS_TIME: Duration = Duration::from_secs(4);
-/// Pause between two tries to hand over.
-const HAND_OVER_PAUSE: Duration = Duration::from_millis(100);
+/// Time for the leave announcement to reach other nodes before the listener is closed.
+const LEAVE_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
+/// Bound on transferring leadership of the shards that this node leads.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bound on waiting for this node's replicas to be removed from their groups.
+const LEAVE_GROUPS_TIMEOUT: Duration = Duration::from_secs(4);
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A node could not be started.
+/// Why a node could not be started.
 #[derive(Debug, thiserror::Error)]
+#[allow(missing_docs)]
 pub enum StartError {
-    /// An address can't be listened on.
-    #[error("can't listen on {address}: {error}")]
-    Listen {
-        /// The address.
-        address: SocketAddr,
-        /// Why.
-        error: std::io::Error,
-    },
-    /// The bundle file can't be read.
-    #[error("can't read bundle file {file}: {error}")]
-    BundleFile {
-        /// The file.
-        file: String,
-        /// Why.
-        error: std::io::Error,
-    },
-    /// The bundle file has mistakes.
-    #[error("the bundle file has mistakes:\n{0}")]
+    #[error("failed to listen on {address}: {error}")]
+    Listen { address: SocketAddr, error: std::io::Error },
+    #[error("failed to read bundle file {file}: {error}")]
+    BundleFile { file: String, error: std::io::Error },
+    #[error("invalid bundle file:\n{0}")]
     Bundle(#[from] Mistakes),
 }
 
-/// What a node is started with besides its settings.
+/// Dependencies of a node that are not part of its settings.
+#[allow(missing_docs)]
 pub struct StartOptions {
-    /// Where its logs go.
     pub logger: Logger,
-    /// Where its connections to other nodes come from.
+    /// Opens connections to other nodes and accepts theirs.
     pub network: Arc<dyn Network>,
 }
 
 impl StartOptions {
-    /// TCP, and logs to `logger`.
+    /// Options with TCP connections and this logger.
     pub fn with_logger(logger: Logger) -> Self {
         Self { logger, network: Arc::new(TcpNetwork) }
     }
 }
 
-/// Addresses that a node in fact listens on.
+/// Bound addresses of the listeners for API clients, other nodes and operators. Where the settings ask for
+/// port 0, these carry the port that was assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct NodeAddresses {
-    /// For callers.
     pub callers: SocketAddr,
-    /// For other nodes.
     pub peers: SocketAddr,
-    /// For operators.
     pub admin: SocketAddr,
 }
 
-/// How the shards that a node leads stand.
+/// Counts of the shards that a node leads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardSummary {
-    /// Shards led here.
+    /// Shards for which this node is the serving leader.
     pub led: usize,
-    /// Of those, shards that have fewer replicas than they could have.
+    /// Led shards that have fewer replicas than the live nodes allow.
     pub unrepaired: usize,
 }
 
-/// A running node.
+/// A running node. Dropping it leaves its tasks running; call [`Node::stop`] to shut it down.
 pub struct Node {
-    parts: Arc<Parts>,
+    components: Arc<Components>,
     addresses: NodeAddresses,
     gateway: JoinHandle<bool>,
     stop_gateway: CancellationToken,
 }
 
 impl Node {
-    /// Starts a node. It is ready when its configuration is in force and it belongs to a fleet.
+    /// Starts listeners and background tasks. The node is ready for calls once
+    /// [`Node::is_ready`] returns true.
     pub async fn start(settings: Settings, options: StartOptions) -> Result<Node, StartError> {
         let callers = listen(settings.listen.callers)?;
         let admin_listener = listen(settings.listen.admin)?;
@@ -110,80 +97,82 @@
             admin: local_address(&admin_listener, settings.listen.admin),
         };
         let bundle = read_bundle_file(&settings)?;
-        let (parts, newer) = Parts::build(settings, options, addresses);
+        let (components, newer) = Components::build(settings, options, addresses);
         if let Some((file, text)) = bundle {
-            parts.configuration.offer(&file, &text);
+            components.configuration.apply_if_newer(&file, &text);
         }
-        let counters = Arc::clone(parts.context.transport.counters());
-        let handler: Arc<PeerHandler> = Arc::new(PeerHandler { parts: Arc::clone(&parts) });
-        let stopped = parts.context.stopped.clone();
+        let counters = Arc::clone(components.context.transport.counters());
+        let handler: Arc<PeerHandler> = Arc::new(PeerHandler { components: Arc::clone(&components) });
+        let stopped = components.context.stopped.clone();
         tokio::spawn(sumacdrift_transport::serve(acceptor, handler, counters, stopped.clone()));
         tokio::spawn(serve_admin(
             admin_listener,
-            admin::router(Admin { parts: Arc::clone(&parts) }),
+            admin::router(AdminState { components: Arc::clone(&components) }),
             stopped,
         ));
-        let node = Self::run(parts, newer, callers, addresses);
-        info!(node.parts.context.logger, "node started"; "callers" => %addresses.callers,
+        let node = Self::spawn_tasks(components, newer, callers, addresses);
+        info!(node.components.context.logger, "node started"; "callers" => %addresses.callers,
             "peers" => %addresses.peers, "admin" => %addresses.admin);
         Ok(node)
     }
 
-    /// Addresses that the node listens on.
+    /// The bound listener addresses.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// The generation of the configuration in force.
+    /// Generation of the active configuration; 0 if there is none.
     pub fn generation(&self) -> Generation {
-        self.parts.configuration.generation()
+        self.components.configuration.generation()
     }
 
-    /// Whether the node has a configuration and belongs to a fleet.
+    /// Whether the node has an active configuration and has joined a fleet.
     pub fn is_ready(&self) -> bool {
-        self.parts.configuration.current().is_some() && self.parts.client.is_ready()
+        self.components.configuration.current().is_some() && self.components.shard_client.is_ready()
     }
 
-    /// How the shards led here stand.
+    /// Counts the shards led by this node.
     pub fn shards(&self) -> ShardSummary {
-        let (led, unrepaired) = self.parts.host.repair_state();
+        let (led, unrepaired) = self.components.shard_host.repair_counts();
         ShardSummary { led, unrepaired }
     }
 
-    /// Cancelled when the node has stopped, by itself or on request.
+    /// A token that is cancelled when the node has stopped, by [`Node::stop`] or because a later incarnation
+    /// replaced it.
     pub fn stopped(&self) -> CancellationToken {
-        self.parts.context.stopped.clone()
+        self.components.context.stopped.clone()
     }
 
-    /// Stops as planned: no new work, every call under way finishes, the state is handed on. Returns whether
-    /// every call finished in time.
+    /// Shuts down gracefully: admits no new calls, drains calls in flight and hands shard leadership over.
+    /// Returns whether every call and connection ended within the drain timeout.
     pub async fn stop(mut self) -> bool {
-        info!(self.parts.context.logger, "planned stop begins"; "calls" => self.parts.calls.count());
-        self.parts.fleet.leave();
-        tokio::time::sleep(LEAVE_TIME).await;
-        self.parts.context.stopping.cancel();
+        info!(self.components.context.logger, "graceful shutdown started";
+            "calls" => self.components.running_calls.count());
+        self.components.fleet.announce_leave();
+        tokio::time::sleep(LEAVE_PROPAGATION_DELAY).await;
+        self.components.context.stopping.cancel();
         self.stop_gateway.cancel();
-        self.hand_over().await;
-        let drain = self.parts.context.settings.limits.drain_timeout;
-        let calls_ended = tokio::time::timeout(drain, self.parts.calls.wait_until_none()).await.is_ok();
+        self.transfer_leaderships().await;
+        let drain = self.components.context.settings.limits.drain_timeout;
+        let calls_ended =
+            tokio::time::timeout(drain, self.components.running_calls.wait_until_idle()).await.is_ok();
         let connections_ended = (&mut self.gateway).await.unwrap_or(false);
-        // Shards may have come to be led here again while calls finished.
-        self.hand_over().await;
-        self.leave_groups().await;
-        self.parts.context.stopped.cancel();
+        // Leadership may have come back to this node while calls drained.
+        self.transfer_leaderships().await;
+        self.wait_for_group_removal().await;
+        self.components.context.stopped.cancel();
         let is_clean = calls_ended && connections_ended;
-        info!(self.parts.context.logger, "node stopped"; "every_call_finished" => is_clean);
+        info!(self.components.context.logger, "node stopped"; "every_call_finished" => is_clean);
         is_clean
     }
 
-    /// Starts the tasks.
-    fn run(
-        parts: Arc<Parts>,
+    fn spawn_tasks(
+        components: Arc<Components>,
         newer: NewerGenerations,
         callers: TcpListener,
         addresses: NodeAddresses,
     ) -> Node {
-        let limits = &parts.context.settings.limits;
+        let limits = &components.context.settings.limits;
         let gateway_settings =
             GatewaySettings { body_bytes: limits.body_bytes, body_timeout: limits.body_timeout };
         let listener_settings = ListenerSettings {
@@ -192,41 +181,49 @@
             drain_timeout: limits.drain_timeout,
         };
         let router =
-            sumacdrift_gateway::router(parts.dispatcher(), TenantLimits::default(), gateway_settings);
+            sumacdrift_gateway::router(components.dispatcher(), TenantLimits::default(), gateway_settings);
         let stop_gateway = CancellationToken::new();
         let gateway =
             tokio::spawn(sumacdrift_gateway::serve(callers, router, listener_settings, stop_gateway.clone()));
         tokio::spawn(
-            MemoryCheck { parts: Arc::clone(&parts), engines: EngineClient::new(parts.context.http.clone()) }
-                .run(),
+            MemoryCheck {
+                components: Arc::clone(&components),
+                engine_client: EngineClient::new(components.context.http.clone()),
+            }
+            .run(),
         );
-        if let Some(address) = parts.context.settings.platform.object_api {
-            let client = ObjectClient::new(parts.context.http.clone(), address);
-            tokio::spawn(Arc::clone(&parts.configuration).follow_platform(client));
+        if let Some(address) = components.context.settings.platform.object_api {
+            let object_client = ObjectClient::new(components.context.http.clone(), address);
+            tokio::spawn(Arc::clone(&components.configuration).watch_platform(object_client));
         }
-        tokio::spawn(Arc::clone(&parts.configuration).follow_peers(newer));
-        tokio::spawn(Arc::clone(&parts.fleet).run());
-        tokio::spawn(Arc::clone(&parts.host).run());
-        tokio::spawn(Arc::clone(&parts.owner).run());
-        tokio::spawn(Arc::clone(&parts.founding).run());
+        tokio::spawn(Arc::clone(&components.configuration).watch_peers(newer));
+        tokio::spawn(Arc::clone(&components.fleet).run());
+        tokio::spawn(Arc::clone(&components.shard_host).run());
+        tokio::spawn(Arc::clone(&components.engine_owner).run());
+        tokio::spawn(Arc::clone(&components.founding).run());
 
-        Node { parts, addresses, gateway, stop_gateway }
+        Node { components, addresses, gateway, stop_gateway }
     }
 
-    /// Waits, within bounds, until the other nodes have taken this one's replicas out of their groups, so that
-    /// the groups bear the next loss at once.
-    async fn leave_groups(&self) {
-        let deadline = tokio::time::Instant::now() + LEAVE_GROUPS_TIME;
-        let has_peers = !self.parts.fleet.live_peers().is_empty();
-        while has_peers && self.parts.host.votes() > 0 && tokio::time::Instant::now() < deadline {
-            tokio::time::sleep(HAND_OVER_PAUSE).await;
+    /// Waits until the other nodes have removed this node's replicas from their groups, at most
+    /// [`LEAVE_GROUPS_TIMEOUT`]. Groups that have already replaced this node tolerate another failure right
+    /// away.
+    async fn wait_for_group_removal(&self) {
+        let deadline = tokio::time::Instant::now() + LEAVE_GROUPS_TIMEOUT;
+        let has_peers = !self.components.fleet.live_peers().is_empty();
+        while has_peers
+            && self.components.shard_host.voting_shard_count() > 0
+            && tokio::time::Instant::now() < deadline
+        {
+            tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
         }
     }
 
-    async fn hand_over(&self) {
-        let deadline = tokio::time::Instant::now() + HAND_OVER_TIME;
-        while self.parts.host.hand_over() > 0 && tokio::time::Instant::now() < deadline {
-            tokio::time::sleep(HAND_OVER_PAUSE).await;
+    async fn transfer_leaderships(&self) {
+        let deadline = tokio::time::Instant::now() + HANDOVER_TIMEOUT;
+        while self.components.shard_host.transfer_leaderships() > 0 && tokio::time::Instant::now() < deadline
+        {
+            tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
         }
     }
 }
@@ -235,8 +232,8 @@
     listen_tcp(address).map_err(|error| StartError::Listen { address, error })
 }
 
-fn local_address(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(asked)
+fn local_address(listener: &TcpListener, requested: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(requested)
 }
 
 fn read_bundle_file(settings: &Settings) -> Result<Option<(String, String)>, StartError> {
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Answers requests of other nodes.
+//! Handles messages from other nodes.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,12 +10,12 @@
 use sumacdrift_transport::Handler;
 use sumacdrift_types::{Problem, ResultCode};
 
-use crate::parts::Parts;
-use crate::shard_host::HostReply;
+use crate::components::Components;
+use crate::shard_host::SubmitOutcome;
 
-/// Hands messages of other nodes to the parts that they are for.
+/// Routes messages from other nodes to the component concerned.
 pub(crate) struct PeerHandler {
-    pub(crate) parts: Arc<Parts>,
+    pub(crate) components: Arc<Components>,
 }
 
 impl Handler for PeerHandler {
@@ -26,7 +26,7 @@
                 Request::Engine(request) => self.engine_request(request).await,
                 Request::Fleet(request) => Response::Fleet(self.fleet_request(request)),
                 Request::Ledger(_) | Request::Follow(_) | Request::Relay(_) => Response::Failed(
-                    Problem::not_run(ResultCode::NotFound, "this node keeps no ledger replica"),
+                    Problem::not_run(ResultCode::NotFound, "this node holds no ledger replica"),
                 ),
             }
         })
@@ -34,17 +34,19 @@
 
     fn one_way(&self, message: OneWay) {
         match message {
-            OneWay::Membership(envelope) => self.parts.fleet.receive(*envelope),
-            OneWay::Group(group) => self.parts.host.receive(*group),
-            OneWay::Release { engine, release } => self.parts.owner.release(&engine, release),
-            OneWay::Forget { engine, call } => self.parts.owner.forget(&engine, call),
-            OneWay::FreeProgram { engine, program } => self.parts.owner.free_program(&engine, &program),
+            OneWay::Membership(envelope) => self.components.fleet.receive(*envelope),
+            OneWay::Group(group) => self.components.shard_host.receive(*group),
+            OneWay::Release { engine, release } => self.components.engine_owner.release(&engine, release),
+            OneWay::Forget { engine, call } => self.components.engine_owner.cancel_call(&engine, call),
+            OneWay::FreeProgram { engine, program } => {
+                self.components.engine_owner.free_program(&engine, &program)
+            }
             OneWay::LeaderAnnouncement { shard, term, node } => {
-                self.parts.client.note_leader(shard, term, node)
+                self.components.shard_client.record_leader(shard, term, node)
             }
             OneWay::CancelCall { runner, call } => {
-                if runner == self.parts.context.runner() {
-                    self.parts.calls.cancel(call);
+                if runner == self.components.context.runner() {
+                    self.components.running_calls.cancel(call);
                 }
             }
         }
@@ -54,11 +56,12 @@
 impl PeerHandler {
     async fn shard_request(&self, request: ShardRequest) -> Response {
         let call = request.command.call();
-        match self.parts.client.ask_here(request.shard, call, &request.command).await {
-            HostReply::Reply(reply) => Response::Shard(Box::new(reply)),
-            HostReply::NotLeader(hint) => {
-                let own = self.parts.context.own.node;
-                let known = self.parts.client.known_leader(request.shard).filter(|node| *node != own);
+        match self.components.shard_client.submit_locally(request.shard, call, &request.command).await {
+            SubmitOutcome::Reply(reply) => Response::Shard(Box::new(reply)),
+            SubmitOutcome::NotLeader(hint) => {
+                let own_node = self.components.context.own_replica.node;
+                let known =
+                    self.components.shard_client.known_leader(request.shard).filter(|node| *node != own_node);
                 Response::NotLeader { hint: hint.or(known) }
             }
         }
@@ -67,14 +70,14 @@
     async fn engine_request(&self, request: EngineRequest) -> Response {
         match request {
             EngineRequest::Bid { engines, prefixes } => {
-                Response::Engine(EngineReply::Bids(self.parts.owner.bids(&engines, &prefixes)))
+                Response::Engine(EngineReply::Bids(self.components.engine_owner.bids(&engines, &prefixes)))
             }
             EngineRequest::Enqueue { engine, work } => {
-                if self.parts.context.stopping.is_cancelled() {
-                    let detail = "the node that queues for the engine is stopping";
+                if self.components.context.stopping.is_cancelled() {
+                    let detail = "the node that owns the engine's queue is shutting down";
                     return Response::Failed(Problem::not_run(ResultCode::NodeStopping, detail));
                 }
-                match self.parts.owner.enqueue(&engine, *work).await {
+                match self.components.engine_owner.enqueue(&engine, *work).await {
                     Ok(()) => Response::Engine(EngineReply::Granted),
                     Err(problem) => Response::Failed(problem),
                 }
@@ -84,17 +87,18 @@
 
     fn fleet_request(&self, request: FleetRequest) -> FleetReply {
         match request {
-            FleetRequest::Hello => {
-                FleetReply::Hello { replica: self.parts.context.own, founding: self.parts.founding.current() }
-            }
+            FleetRequest::Hello => FleetReply::Hello {
+                replica: self.components.context.own_replica,
+                founding: self.components.founding.current(),
+            },
             FleetRequest::Found(founding) => {
-                self.parts.founding.adopt(founding);
+                self.components.founding.adopt(founding);
                 FleetReply::Founded
             }
             FleetRequest::FetchBundle => {
-                let current = self.parts.configuration.current();
+                let current = self.components.configuration.current();
                 let text = current.as_ref().map(|bundle| bundle.source.clone()).unwrap_or_default();
-                FleetReply::Bundle { generation: self.parts.configuration.generation(), text }
+                FleetReply::Bundle { generation: self.components.configuration.generation(), text }
             }
         }
     }
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/running_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that run on this node.
+//! Registry of the calls in flight on this node.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// Calls under way, by which they can be stopped and waited for.
+/// Allows calls in flight to be cancelled and waited for.
 #[derive(Debug, Default)]
 pub(crate) struct RunningCalls {
     calls: Mutex<HashMap<CallId, CancellationToken>>,
@@ -15,33 +15,31 @@
 }
 
 impl RunningCalls {
-    /// Notes a call and returns the token that stops it.
-    pub(crate) fn begin(&self, call: CallId) -> CancellationToken {
+    /// Registers a call and returns its cancellation token.
+    pub(crate) fn register(&self, call: CallId) -> CancellationToken {
         let token = CancellationToken::new();
         self.lock().insert(call, token.clone());
         token
     }
 
-    /// Notes a call's end.
-    pub(crate) fn end(&self, call: CallId) {
+    pub(crate) fn deregister(&self, call: CallId) {
         self.lock().remove(&call);
         self.ended.notify_waiters();
     }
 
-    /// Stops a call.
+    /// Cancels a call; does nothing if it isn't in flight on this node.
     pub(crate) fn cancel(&self, call: CallId) {
         if let Some(token) = self.lock().get(&call) {
             token.cancel();
         }
     }
 
-    /// Number of calls under way.
     pub(crate) fn count(&self) -> usize {
         self.lock().len()
     }
 
-    /// Waits until no call is under way.
-    pub(crate) async fn wait_until_none(&self) {
+    /// Waits until no call is in flight.
+    pub(crate) async fn wait_until_idle(&self) {
         loop {
             let ended = self.ended.notified();
             if self.count() == 0 {
--- a/crates/node/src/service_runner.rs
+++ b/crates/node/src/service_runner.rs
@@ -1,4 +1,4 @@
-//! Runs calls of plain services, those that may not be repeated at most once.
+//! Runs calls to plain services. Calls that aren't repeatable run at most once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,47 +17,44 @@
 use sumacdrift_types::{Problem, Ran, ResultCode, Timestamp};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::calls::RunningCalls;
 use crate::configuration::ConfigurationStore;
 use crate::context::Context;
+use crate::running_calls::RunningCalls;
 use crate::shard_client::ShardClient;
 
-/// Largest answer that is recorded.
+/// Maximum size of a recorded answer.
 const MAX_RECORDED_BYTES: usize = 1 << 20;
-/// Pieces of an answer that may wait for the caller.
-const PIECE_QUEUE: usize = 16;
-/// How long a command that must not get lost is tried.
-const LEDGER_TIME: Duration = Duration::from_secs(15);
-/// Added to a call's time before the ledger gives its outcome up.
-const GIVE_UP_SLACK: Duration = Duration::from_secs(30);
-/// How long a call is held at the most; each attempt has the service's own deadline.
-const LONGEST_CALL: Duration = Duration::from_secs(3600);
-/// Bytes of a digest over a request.
+/// Body pieces that are buffered for a slow caller.
+const PIECE_QUEUE_CAPACITY: usize = 16;
+/// How long a ledger command is retried.
+const LEDGER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Margin beyond a call's run time before the ledger records its outcome as lost.
+const RUN_LIMIT_MARGIN: Duration = Duration::from_secs(30);
+/// Upper bound only; each attempt has the service's own deadline.
+const MAX_CALL_DURATION: Duration = Duration::from_secs(3600);
 const DIGEST_BYTES: usize = 16;
 
-/// Runs calls of plain services.
 pub(crate) struct ServiceRunner {
     context: Arc<Context>,
     configuration: Arc<ConfigurationStore>,
-    client: Arc<ShardClient>,
+    shard_client: Arc<ShardClient>,
     http: HttpClient,
-    calls: Arc<RunningCalls>,
+    running_calls: Arc<RunningCalls>,
 }
 
 impl ServiceRunner {
     pub(crate) fn new(
         context: Arc<Context>,
         configuration: Arc<ConfigurationStore>,
-        client: Arc<ShardClient>,
-        calls: Arc<RunningCalls>,
+        shard_client: Arc<ShardClient>,
+        running_calls: Arc<RunningCalls>,
     ) -> Self {
         let http = context.http.clone();
-        Self { context, configuration, client, http, calls }
+        Self { context, configuration, shard_client, http, running_calls }
     }
 
-    /// Runs a call.
     pub(crate) async fn run(self: Arc<Self>, call: ServiceCall) -> Result<ServiceAnswer, Problem> {
-        let service = self.look_up(&call)?;
+        let service = self.find_service(&call)?;
         self.context.metrics.service_calls.inc();
         let path = call.path.split('?').next().unwrap_or_default();
         let is_repeatable = service.is_repeatable(&call.method, path);
@@ -67,7 +64,7 @@
             Arc::clone(&self).run_once(call.clone(), service).await
         };
         if let Err(problem) = &outcome {
-            self.context.metrics.problem(problem);
+            self.context.metrics.record_problem(problem);
             info!(self.context.logger, "service call failed"; "call" => %call.call,
                 "service" => %call.service, "code" => problem.code.number(), "ran" => %problem.ran,
                 "detail" => &problem.detail);
@@ -75,47 +72,52 @@
         outcome
     }
 
-    fn look_up(&self, call: &ServiceCall) -> Result<Service, Problem> {
+    fn find_service(&self, call: &ServiceCall) -> Result<Service, Problem> {
         let bundle = self.configuration.current();
         let service = bundle.as_ref().and_then(|bundle| bundle.services.get(&call.service));
-        let missing = || Problem::not_run(ResultCode::NotFound, format!("no service {}", call.service));
+        let missing = || Problem::not_run(ResultCode::NotFound, format!("unknown service {}", call.service));
         service.cloned().ok_or_else(missing)
     }
 
-    /// A call that may be repeated: tries back ends until one answers, and passes the answer on as it comes.
+    /// Tries back ends until one answers and streams the answer to the caller.
     async fn run_repeatable(&self, call: &ServiceCall, service: &Service) -> Result<ServiceAnswer, Problem> {
-        let mut last = no_back_end(call);
-        let mut machine = self.machine(CallKind::Repeatable, service);
-        for back_end in self.back_ends(service) {
+        let mut last_problem = no_back_end(call);
+        let mut machine = self.call_machine(CallKind::Repeatable, service);
+        for back_end in self.ordered_back_ends(service) {
             let request = to_request(call, back_end.address)?;
             machine.sent(&back_end_id(&back_end));
             match self.http.send(request, service.deadline).await {
-                Ok(response) => return Ok(self.pass_on(call, response)),
+                Ok(response) => return Ok(self.stream_answer(call, response)),
                 Err(error) => {
-                    last = to_problem(&error);
-                    if !self.may_go_on(&mut machine, &back_end, &error) {
+                    last_problem = to_problem(&error);
+                    if !self.should_try_next(&mut machine, &back_end, &error) {
                         break;
                     }
                 }
             }
         }
-        Err(last.with_ran(machine.ran()))
+        Err(last_problem.with_ran(machine.ran()))
     }
 
-    fn machine(&self, kind: CallKind, service: &Service) -> CallMachine {
+    fn call_machine(&self, kind: CallKind, service: &Service) -> CallMachine {
         let rules = CallRules {
             kind,
             max_engines: service.back_ends.len(),
             returns_to_last: false,
-            timeout: LONGEST_CALL,
+            timeout: MAX_CALL_DURATION,
             aim: service.deadline,
             priority: 0,
         };
         CallMachine::new(rules, None, self.context.now())
     }
 
-    /// Whether another back end may be tried.
-    fn may_go_on(&self, machine: &mut CallMachine, back_end: &ServiceBackEnd, error: &HttpError) -> bool {
+    /// Records a failed attempt and returns whether another back end may be tried.
+    fn should_try_next(
+        &self,
+        machine: &mut CallMachine,
+        back_end: &ServiceBackEnd,
+        error: &HttpError,
+    ) -> bool {
         let failure = match error {
             HttpError::NotSent(_) => Failure::NotSent,
             HttpError::Broken(_) | HttpError::TimedOut => Failure::Lost,
@@ -125,11 +127,15 @@
         matches!(next, Next::Try { .. })
     }
 
-    fn pass_on(&self, call: &ServiceCall, response: http::Response<hyper::body::Incoming>) -> ServiceAnswer {
+    fn stream_answer(
+        &self,
+        call: &ServiceCall,
+        response: http::Response<hyper::body::Incoming>,
+    ) -> ServiceAnswer {
         let (head, mut body) = response.into_parts();
-        let (pieces, receiver) = mpsc::channel(PIECE_QUEUE);
-        let (calls, id) = (Arc::clone(&self.calls), call.call);
-        calls.begin(id);
+        let (pieces, receiver) = mpsc::channel(PIECE_QUEUE_CAPACITY);
+        let (running_calls, id) = (Arc::clone(&self.running_calls), call.call);
+        running_calls.register(id);
         tokio::spawn(async move {
             loop {
                 let piece = match next_piece(&mut body).await {
@@ -142,7 +148,7 @@
                     break;
                 }
             }
-            calls.end(id);
+            running_calls.deregister(id);
         });
         ServiceAnswer {
             status: head.status.as_u16(),
@@ -152,25 +158,25 @@
         }
     }
 
-    /// A call that may run only once. It runs in a task of its own: once admitted, its outcome must be recorded
-    /// whatever happens to the caller.
+    /// Runs a call at most once. It runs in its own task because, once admitted, its outcome must be recorded
+    /// even if the caller disconnects.
     async fn run_once(
         self: Arc<Self>,
         call: ServiceCall,
         service: Service,
     ) -> Result<ServiceAnswer, Problem> {
         let Some(key) = call.key.clone() else {
-            let detail = "this call may not be repeated by the system, so it needs an Idempotency-Key";
+            let detail = "this call is not repeatable, so it requires an Idempotency-Key";
             return Err(Problem::not_run(ResultCode::IdempotencyKeyRequired, detail));
         };
         let key = LedgerKey { tenant: call.tenant.clone(), service: call.service.clone(), key };
         let (sender, receiver) = oneshot::channel();
         let runner = Arc::clone(&self);
-        self.calls.begin(call.call);
+        self.running_calls.register(call.call);
         tokio::spawn(async move {
             let id = call.call;
             let outcome = runner.admit_and_run(call, service, key).await;
-            runner.calls.end(id);
+            runner.running_calls.deregister(id);
             let _ = sender.send(outcome);
         });
         let lost = || Problem::unknown(ResultCode::Internal, "the call's task ended without an answer");
@@ -188,21 +194,27 @@
             key: key.clone(),
             request: request_digest(&call),
             runner: self.context.runner(),
-            run_limit: service.deadline * service.back_ends.len().max(1) as u32 + GIVE_UP_SLACK,
+            run_limit: service.deadline * service.back_ends.len().max(1) as u32 + RUN_LIMIT_MARGIN,
         };
         let command = Command::BeginService(begin);
-        let give_up = self.context.now() + LEDGER_TIME;
-        match self.client.ledger_command(&key, call.call, command, give_up).await {
+        let deadline = self.context.now() + LEDGER_TIMEOUT;
+        match self.shard_client.send_ledger_command(&key, call.call, command, deadline).await {
             Ok(Reply::RunService) => self.run_admitted(call, service, key).await,
             Ok(Reply::ReplayService(response)) => {
                 self.context.metrics.replays.inc();
                 Ok(to_answer(response, true))
             }
             Ok(Reply::Refused(problem)) => Err(problem),
-            Ok(_) => Err(Problem::not_run(ResultCode::Internal, "the ledger's answer does not fit")),
+            Ok(_) => Err(Problem::not_run(ResultCode::Internal, "unexpected reply from the ledger")),
             Err(problem) => {
-                // The admission may have been committed without an answer; nothing was sent, so take it back.
-                self.settle(&key, &call, Command::ReleaseService { key: key.clone(), call: call.call }).await;
+                // The admission may have been committed although no answer arrived. Nothing was sent to a
+                // back end, so release it.
+                self.update_ledger(
+                    &key,
+                    &call,
+                    Command::ReleaseService { key: key.clone(), call: call.call },
+                )
+                .await;
                 Err(problem)
             }
         }
@@ -214,34 +226,36 @@
         service: Service,
         key: LedgerKey,
     ) -> Result<ServiceAnswer, Problem> {
-        let mut last = no_back_end(&call);
-        let mut machine = self.machine(CallKind::Once, &service);
-        for back_end in self.back_ends(&service) {
+        let mut last_problem = no_back_end(&call);
+        let mut machine = self.call_machine(CallKind::Once, &service);
+        for back_end in self.ordered_back_ends(&service) {
             let request = to_request(&call, back_end.address)?;
             machine.sent(&back_end_id(&back_end));
             match self.http.fetch(request, service.deadline, MAX_RECORDED_BYTES).await {
-                Ok(response) => return self.record(&call, &key, response).await,
-                // Only where nothing was sent may another back end still be tried.
-                Err(error) if self.may_go_on(&mut machine, &back_end, &error) => last = to_problem(&error),
+                Ok(response) => return self.record_answer(&call, &key, response).await,
+                // Another back end may be tried only if nothing was sent to this one.
+                Err(error) if self.should_try_next(&mut machine, &back_end, &error) => {
+                    last_problem = to_problem(&error)
+                }
                 Err(error) if machine.ran() == Ran::No => {
-                    last = to_problem(&error);
+                    last_problem = to_problem(&error);
                     break;
                 }
                 Err(error) => {
                     let command = Command::LoseService { key: key.clone(), call: call.call };
-                    self.settle(&key, &call, command).await;
-                    warn!(self.context.logger, "outcome of a call that may run once is unknown";
+                    self.update_ledger(&key, &call, command).await;
+                    warn!(self.context.logger, "outcome of a non-repeatable call is unknown";
                         "call" => %call.call, "service" => %call.service, "error" => error.to_string());
                     return Err(to_problem(&error));
                 }
             }
         }
         let command = Command::ReleaseService { key: key.clone(), call: call.call };
-        self.settle(&key, &call, command).await;
-        Err(last)
+        self.update_ledger(&key, &call, command).await;
+        Err(last_problem)
     }
 
-    async fn record(
+    async fn record_answer(
         &self,
         call: &ServiceCall,
         key: &LedgerKey,
@@ -255,7 +269,7 @@
         };
         let command =
             Command::FinishService { key: key.clone(), call: call.call, response: response.clone() };
-        match self.settle(key, call, command).await {
+        match self.update_ledger(key, call, command).await {
             Some(Reply::Done) => Ok(to_answer(response, false)),
             _ => {
                 let detail = "the call ran, but its answer could not be recorded";
@@ -264,17 +278,17 @@
         }
     }
 
-    async fn settle(&self, key: &LedgerKey, call: &ServiceCall, command: Command) -> Option<Reply> {
-        let give_up: Timestamp = self.context.now() + LEDGER_TIME;
-        self.client.ledger_command(key, call.call, command, give_up).await.ok()
+    async fn update_ledger(&self, key: &LedgerKey, call: &ServiceCall, command: Command) -> Option<Reply> {
+        let deadline: Timestamp = self.context.now() + LEDGER_TIMEOUT;
+        self.shard_client.send_ledger_command(key, call.call, command, deadline).await.ok()
     }
 
-    /// Back ends that may get calls, those of the own zone first.
-    fn back_ends(&self, service: &Service) -> Vec<ServiceBackEnd> {
+    /// Back ends that aren't draining, in random order, those of this node's zone first.
+    fn ordered_back_ends(&self, service: &Service) -> Vec<ServiceBackEnd> {
         let mut back_ends: Vec<ServiceBackEnd> =
-            service.back_ends.iter().filter(|one| !one.is_leaving).cloned().collect();
+            service.back_ends.iter().filter(|back_end| !back_end.is_leaving).cloned().collect();
         back_ends.shuffle(&mut rand::rng());
-        back_ends.sort_by_key(|one| one.zone != self.context.settings.zone);
+        back_ends.sort_by_key(|back_end| back_end.zone != self.context.settings.zone);
         back_ends
     }
 }
@@ -335,6 +349,6 @@
 }
 
 fn no_back_end(call: &ServiceCall) -> Problem {
-    let detail = format!("service {} has no back end that takes calls", call.service);
+    let detail = format!("no back end of service {} is accepting calls", call.service);
     Problem::not_run(ResultCode::BackEndUnreachable, detail).with_retry_after(Duration::from_secs(1))
 }
--- a/crates/node/src/shard_client.rs
+++ b/crates/node/src/shard_client.rs
@@ -1,4 +1,4 @@
-//! Sends commands to the leaders of program shards, wherever they are.
+//! Sends commands to the leaders of program shards, on this node or others.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,18 +11,16 @@
 
 use crate::context::Context;
 use crate::fleet::Fleet;
-use crate::shard_host::{HostReply, ShardHost};
+use crate::shard_host::{ShardHost, SubmitOutcome};
 
-/// First pause before a command is tried again.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause.
-const MAX_PAUSE: Duration = Duration::from_millis(200);
-/// How long one node is given to answer a command that does not wait for anything.
+/// First delay before a command is retried; doubles with each retry.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
+/// Time for one node to answer, apart from the time for which the leader may hold the command.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Hints that are followed before a pause.
-const REDIRECTS_BEFORE_PAUSE: u32 = 3;
-/// How long follow-ups are tried.
-const FOLLOW_UP_TIME: Duration = Duration::from_secs(60);
+/// Redirects followed before backing off.
+const REDIRECTS_BEFORE_BACKOFF: u32 = 3;
+const FOLLOW_UP_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone, Copy)]
 struct KnownLeader {
@@ -30,200 +28,210 @@
     node: NodeId,
 }
 
-/// Finds leaders and sends them commands.
+/// Finds shard leaders and sends them commands.
 ///
-/// Commands name a call and are recognized when they come again, so one whose answer was lost is simply sent
-/// once more.
+/// Commands carry a call id by which leaders detect duplicates, so a command without an answer is safe to
+/// resend.
 pub(crate) struct ShardClient {
     context: Arc<Context>,
     fleet: Arc<Fleet>,
-    host: Arc<ShardHost>,
+    shard_host: Arc<ShardHost>,
     leaders: Mutex<HashMap<ShardId, KnownLeader>>,
-    shards: Mutex<u32>,
+    shard_count: Mutex<u32>,
 }
 
 impl ShardClient {
-    pub(crate) fn new(context: Arc<Context>, fleet: Arc<Fleet>, host: Arc<ShardHost>) -> Self {
-        Self { context, fleet, host, leaders: Mutex::default(), shards: Mutex::new(0) }
+    pub(crate) fn new(context: Arc<Context>, fleet: Arc<Fleet>, shard_host: Arc<ShardHost>) -> Self {
+        Self { context, fleet, shard_host, leaders: Mutex::default(), shard_count: Mutex::new(0) }
     }
 
-    /// Notes the number of shards, which is fixed when the fleet is founded.
-    pub(crate) fn set_shards(&self, shards: u32) {
-        *lock(&self.shards) = shards;
+    /// Sets the number of shards, which is fixed when the fleet is created.
+    pub(crate) fn set_shard_count(&self, shard_count: u32) {
+        *lock(&self.shard_count) = shard_count;
     }
 
-    /// Whether the fleet is founded, so that programs have a place.
+    /// Whether the number of shards is known, which is needed to route programs.
     pub(crate) fn is_ready(&self) -> bool {
-        *lock(&self.shards) > 0
+        *lock(&self.shard_count) > 0
     }
 
-    /// Notes who leads a shard.
-    pub(crate) fn note_leader(&self, shard: ShardId, term: u64, node: NodeId) {
+    /// Records a shard's leader unless one of a later term is known.
+    pub(crate) fn record_leader(&self, shard: ShardId, term: u64, node: NodeId) {
         let mut leaders = lock(&self.leaders);
-        let is_news = leaders.get(&shard).is_none_or(|known| known.term <= term);
-        if is_news {
+        let is_current = leaders.get(&shard).is_none_or(|known| known.term <= term);
+        if is_current {
             leaders.insert(shard, KnownLeader { term, node });
         }
     }
 
-    /// Who leads a shard, as far as is known here.
+    /// The shard's leader, if this node has heard of one. May be out of date.
     pub(crate) fn known_leader(&self, shard: ShardId) -> Option<NodeId> {
         lock(&self.leaders).get(&shard).map(|known| known.node)
     }
 
-    /// Sends a command about a program. `may_wait` is how long the leader may hold the command on purpose.
-    pub(crate) async fn program_command(
+    /// Sends a command to the leader of a program's shard. `max_hold` is how long the leader may delay its
+    /// answer, for example while a turn waits for an earlier one.
+    pub(crate) async fn send_program_command(
         &self,
         program: &ProgramId,
         call: CallId,
         command: Command,
-        may_wait: Duration,
-        give_up: Timestamp,
+        max_hold: Duration,
+        deadline: Timestamp,
     ) -> Result<Reply, Problem> {
         let shard = self.shard_of(program.as_str().as_bytes())?;
-        self.command(shard, call, command, may_wait, give_up).await
+        self.send_command(shard, call, command, max_hold, deadline).await
     }
 
-    /// Sends a command about a ledger key.
-    pub(crate) async fn ledger_command(
+    /// Sends a command to the leader of a ledger key's shard.
+    pub(crate) async fn send_ledger_command(
         &self,
         key: &LedgerKey,
         call: CallId,
         command: Command,
-        give_up: Timestamp,
+        deadline: Timestamp,
     ) -> Result<Reply, Problem> {
         let text = format!("{}/{}/{}", key.tenant, key.service, key.key);
         let shard = self.shard_of(text.as_bytes())?;
-        self.command(shard, call, command, Duration::ZERO, give_up).await
+        self.send_command(shard, call, command, Duration::ZERO, deadline).await
     }
 
-    /// Tells which of these programs have ended. Programs of shards that do not answer are left out: only what
-    /// a leader says for certain may be acted on.
-    pub(crate) async fn list_gone(&self, programs: Vec<ProgramId>, give_up: Timestamp) -> Vec<ProgramId> {
+    /// Returns the programs that have ended. Programs of shards that don't answer are left out, because only
+    /// a leader's answer is authoritative.
+    pub(crate) async fn find_ended_programs(
+        &self,
+        programs: Vec<ProgramId>,
+        deadline: Timestamp,
+    ) -> Vec<ProgramId> {
         let mut by_shard: HashMap<ShardId, Vec<ProgramId>> = HashMap::new();
         for program in programs {
             if let Ok(shard) = self.shard_of(program.as_str().as_bytes()) {
                 by_shard.entry(shard).or_default().push(program);
             }
         }
-        let mut gone = Vec::new();
+        let mut ended = Vec::new();
         for (shard, programs) in by_shard {
             let call = CallId::random(&mut rand::rng());
             let command = Command::ListGone { call, programs };
             if let Ok(Reply::Gone(programs)) =
-                self.command(shard, call, command, Duration::ZERO, give_up).await
+                self.send_command(shard, call, command, Duration::ZERO, deadline).await
             {
-                gone.extend(programs);
+                ended.extend(programs);
             }
         }
-        gone
+        ended
     }
 
-    /// Sends a command that nobody waits for, trying for a while.
-    pub(crate) async fn follow_up(&self, program: &ProgramId, call: CallId, command: Command) {
-        let give_up = self.context.now() + FOLLOW_UP_TIME;
-        // What fails here is repeated by the next leader of the shard that wanted it.
-        let _ = self.program_command(program, call, command, Duration::ZERO, give_up).await;
+    /// Sends a command whose reply isn't needed, retrying for [`FOLLOW_UP_TIMEOUT`].
+    pub(crate) async fn send_follow_up(&self, program: &ProgramId, call: CallId, command: Command) {
+        let deadline = self.context.now() + FOLLOW_UP_TIMEOUT;
+        // On failure, the next leader of the shard that issued the command repeats it.
+        let _ = self.send_program_command(program, call, command, Duration::ZERO, deadline).await;
     }
 
     fn shard_of(&self, key: &[u8]) -> Result<ShardId, Problem> {
-        let shards = *lock(&self.shards);
-        if shards == 0 {
-            let detail = "the fleet is not founded yet: not all founding nodes have met";
-            return Err(Problem::not_run(ResultCode::NoLeader, detail).with_retry_after(MAX_PAUSE));
+        let shard_count = *lock(&self.shard_count);
+        if shard_count == 0 {
+            let detail = "the fleet is not bootstrapped yet: founding nodes are missing";
+            return Err(Problem::not_run(ResultCode::NoLeader, detail).with_retry_after(MAX_BACKOFF));
         }
-        Ok(ShardId((stable_hash(&[key]) % u64::from(shards)) as u32))
+        Ok(ShardId((stable_hash(&[key]) % u64::from(shard_count)) as u32))
     }
 
-    async fn command(
+    async fn send_command(
         &self,
         shard: ShardId,
         call: CallId,
         command: Command,
-        may_wait: Duration,
-        give_up: Timestamp,
+        max_hold: Duration,
+        deadline: Timestamp,
     ) -> Result<Reply, Problem> {
-        let mut pause = FIRST_PAUSE;
-        let mut next_holder = 0;
+        let mut backoff = INITIAL_BACKOFF;
+        let mut next_candidate = 0;
         let mut redirects = 0;
         loop {
-            let target = self.target(shard, &mut next_holder);
+            let target = self.select_target(shard, &mut next_candidate);
             if let Some(target) = target {
-                match self.ask(target, shard, call, &command, may_wait).await {
-                    Attempt::Answered(reply) => return Ok(reply),
-                    Attempt::Failed(problem) => return Err(problem),
-                    Attempt::Redirected(leader) => {
-                        self.learn_hint(shard, target, leader);
+                match self.send_to(target, shard, call, &command, max_hold).await {
+                    AttemptOutcome::Answered(reply) => return Ok(reply),
+                    AttemptOutcome::Failed(problem) => return Err(problem),
+                    AttemptOutcome::Redirected(leader) => {
+                        self.apply_leader_hint(shard, target, leader);
                         redirects += 1;
-                        // Two nodes that take each other for the leader must not be asked in a tight loop.
+                        // Two nodes that redirect to each other must not cause a busy loop.
                         let is_fresh_hint = leader.is_some_and(|leader| leader != target);
-                        if is_fresh_hint && redirects % REDIRECTS_BEFORE_PAUSE != 0 {
+                        if is_fresh_hint && redirects % REDIRECTS_BEFORE_BACKOFF != 0 {
                             continue;
                         }
                     }
-                    Attempt::Unanswered => self.forget_leader(shard, target),
+                    AttemptOutcome::Unanswered => self.forget_leader(shard, target),
                 }
             }
-            if self.context.now() + pause >= give_up {
-                let detail = format!("shard {shard} has no leader that answers");
+            if self.context.now() + backoff >= deadline {
+                let detail = format!("no leader of shard {shard} answered");
                 return Err(Problem::not_run(ResultCode::NoLeader, detail).with_retry_after(RETRY_AFTER));
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    fn target(&self, shard: ShardId, next_holder: &mut usize) -> Option<NodeId> {
+    fn select_target(&self, shard: ShardId, next_candidate: &mut usize) -> Option<NodeId> {
         if let Some(leader) = self.known_leader(shard) {
             return Some(leader);
         }
-        let holders = self.fleet.likely_holders(shard.0);
-        let holder = holders.get(*next_holder % holders.len().max(1)).copied();
-        *next_holder += 1;
-        holder
+        let candidates = self.fleet.replica_candidates(shard.0);
+        let candidate = candidates.get(*next_candidate % candidates.len().max(1)).copied();
+        *next_candidate += 1;
+        candidate
     }
 
-    async fn ask(
+    async fn send_to(
         &self,
         target: NodeId,
         shard: ShardId,
         call: CallId,
         command: &Command,
-        may_wait: Duration,
-    ) -> Attempt {
-        if target == self.context.own.node {
-            return match self.ask_here(shard, call, command).await {
-                HostReply::Reply(reply) => Attempt::Answered(reply),
-                HostReply::NotLeader(hint) => Attempt::Redirected(hint),
+        max_hold: Duration,
+    ) -> AttemptOutcome {
+        if target == self.context.own_replica.node {
+            return match self.submit_locally(shard, call, command).await {
+                SubmitOutcome::Reply(reply) => AttemptOutcome::Answered(reply),
+                SubmitOutcome::NotLeader(hint) => AttemptOutcome::Redirected(hint),
             };
         }
-        let Some(address) = self.fleet.address_of(target) else { return Attempt::Unanswered };
+        let Some(address) = self.fleet.address_of(target) else { return AttemptOutcome::Unanswered };
         let request = Request::Shard(Box::new(ShardRequest { shard, command: command.clone() }));
-        let answer = self.context.transport.request(address, request, ANSWER_TIMEOUT + may_wait).await;
+        let answer = self.context.transport.request(address, request, ANSWER_TIMEOUT + max_hold).await;
         match answer {
-            Ok(Response::Shard(reply)) => Attempt::Answered(*reply),
-            Ok(Response::NotLeader { hint }) => Attempt::Redirected(hint),
-            Ok(Response::Failed(problem)) => Attempt::Failed(problem),
-            Ok(_) => Attempt::Unanswered,
+            Ok(Response::Shard(reply)) => AttemptOutcome::Answered(*reply),
+            Ok(Response::NotLeader { hint }) => AttemptOutcome::Redirected(hint),
+            Ok(Response::Failed(problem)) => AttemptOutcome::Failed(problem),
+            Ok(_) => AttemptOutcome::Unanswered,
             Err(TransportError::Unreachable | TransportError::Lost | TransportError::TimedOut) => {
-                Attempt::Unanswered
+                AttemptOutcome::Unanswered
             }
         }
     }
 
-    /// Handles a command with the replica on this node.
-    pub(crate) async fn ask_here(&self, shard: ShardId, call: CallId, command: &Command) -> HostReply {
+    /// Submits a command to the replica on this node.
+    pub(crate) async fn submit_locally(
+        &self,
+        shard: ShardId,
+        call: CallId,
+        command: &Command,
+    ) -> SubmitOutcome {
         if has_reply(command) {
-            return self.host.command(shard, call, command.clone()).await;
+            return self.shard_host.submit(shard, call, command.clone()).await;
         }
-        if self.host.command_without_reply(shard, command.clone()) {
-            HostReply::Reply(Reply::Done)
+        if self.shard_host.submit_without_reply(shard, command.clone()) {
+            SubmitOutcome::Reply(Reply::Done)
         } else {
-            HostReply::NotLeader(self.known_leader(shard))
+            SubmitOutcome::NotLeader(self.known_leader(shard))
         }
     }
 
-    fn learn_hint(&self, shard: ShardId, asked: NodeId, hint: Option<NodeId>) {
+    fn apply_leader_hint(&self, shard: ShardId, asked: NodeId, hint: Option<NodeId>) {
         let mut leaders = lock(&self.leaders);
         let known = leaders.get(&shard).copied();
         let is_outdated = known.is_none_or(|known| known.node == asked);
@@ -247,10 +255,10 @@
     }
 }
 
-/// When a caller may try again while a shard has no leader.
+/// Retry-after hint for callers while a shard has no leader.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-enum Attempt {
+enum AttemptOutcome {
     Answered(Reply),
     Redirected(Option<NodeId>),
     Failed(Problem),
@@ -261,7 +269,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Whether a command is answered by a reply of its own.
+/// Whether the leader sends a reply to the command.
 pub(crate) fn has_reply(command: &Command) -> bool {
     !matches!(command, Command::ForgetWaiting { .. } | Command::ReturnChild { .. })
 }
