--- a/crates/node/src/shard_host.rs
+++ b/crates/node/src/shard_host.rs
@@ -1,4 +1,4 @@
-//! Holds this node's replicas of program shards and drives them.
+//! Holds and drives this node's replicas of program shards.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, Weak};
@@ -12,48 +12,45 @@
 use sumacdrift_types::{CallId, NodeId, ShardId};
 use tokio::sync::oneshot;
 
-use crate::calls::RunningCalls;
 use crate::context::Context;
 use crate::engine_router::EngineRouter;
 use crate::fleet::Fleet;
+use crate::running_calls::RunningCalls;
 use crate::shard_client::ShardClient;
 
-/// How often replicas are given the time.
-const TICK: Duration = Duration::from_millis(20);
-/// How often the gauges are brought up to date, in ticks.
-const GAUGE_TICKS: u32 = 50;
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Ticks between updates of the gauges.
+const GAUGE_UPDATE_TICKS: u32 = 50;
 
-/// The result of handing a command to this node's replica.
-pub(crate) enum HostReply {
-    /// The leader's answer.
+/// Result of submitting a command to this node's replica.
+pub(crate) enum SubmitOutcome {
     Reply(Reply),
-    /// No replica here leads the shard.
+    /// No replica on this node leads the shard. Carries the leader's node, if known.
     NotLeader(Option<NodeId>),
 }
 
-struct Hosted {
+struct HostedShard {
     shard: ProgramShard,
-    waiting: HashMap<CallId, oneshot::Sender<Reply>>,
+    waiters: HashMap<CallId, oneshot::Sender<Reply>>,
 }
 
-/// This node's replicas.
 pub(crate) struct ShardHost {
     context: Arc<Context>,
     fleet: Arc<Fleet>,
-    router: Arc<EngineRouter>,
-    calls: Arc<RunningCalls>,
+    engine_router: Arc<EngineRouter>,
+    running_calls: Arc<RunningCalls>,
     settings: ShardSettings,
-    shards: RwLock<HashMap<ShardId, Arc<Mutex<Hosted>>>>,
-    /// For follow-up commands to other shards; set once, after both exist.
-    client: RwLock<Weak<ShardClient>>,
+    shards: RwLock<HashMap<ShardId, Arc<Mutex<HostedShard>>>>,
+    /// Sends follow-up commands to other shards. Set after construction, because the client needs the host.
+    shard_client: RwLock<Weak<ShardClient>>,
 }
 
 impl ShardHost {
     pub(crate) fn new(
         context: Arc<Context>,
         fleet: Arc<Fleet>,
-        router: Arc<EngineRouter>,
-        calls: Arc<RunningCalls>,
+        engine_router: Arc<EngineRouter>,
+        running_calls: Arc<RunningCalls>,
     ) -> Self {
         let fleet_settings = &context.settings.fleet;
         let settings = ShardSettings {
@@ -68,21 +65,21 @@
         Self {
             context,
             fleet,
-            router,
-            calls,
+            engine_router,
+            running_calls,
             settings,
             shards: RwLock::default(),
-            client: RwLock::new(Weak::new()),
+            shard_client: RwLock::new(Weak::new()),
         }
     }
 
-    pub(crate) fn set_client(&self, client: &Arc<ShardClient>) {
-        *self.client.write().unwrap_or_else(PoisonError::into_inner) = Arc::downgrade(client);
+    pub(crate) fn set_shard_client(&self, shard_client: &Arc<ShardClient>) {
+        *self.shard_client.write().unwrap_or_else(PoisonError::into_inner) = Arc::downgrade(shard_client);
     }
 
-    /// Creates the replicas that this life holds as a founder.
-    pub(crate) fn found(&self, founding: &Founding) {
-        let own = self.context.own;
+    /// Creates the shard replicas that this node holds as a founder; none if it isn't one.
+    pub(crate) fn create_founding_replicas(&self, founding: &Founding) {
+        let own_replica = self.context.own_replica;
         let candidates: Vec<Candidate> = founding
             .founders
             .iter()
@@ -91,74 +88,76 @@
         for number in 0..founding.shards {
             let chosen = spread(u64::from(number), &candidates, &[], self.settings.repair.replicas);
             let voters: Vec<ReplicaId> = chosen.iter().map(|candidate| candidate.replica).collect();
-            if voters.contains(&own) {
-                let (id, now, seed) = (ShardId(number), self.context.now(), self.context.seed());
+            if voters.contains(&own_replica) {
+                let (id, now, random_seed) =
+                    (ShardId(number), self.context.now(), self.context.random_seed());
                 let configuration = Configuration::of_voters(voters);
-                let shard = ProgramShard::found(id, own, configuration, self.settings, seed, now);
+                let shard =
+                    ProgramShard::found(id, own_replica, configuration, self.settings, random_seed, now);
                 self.insert(shard);
             }
         }
     }
 
-    /// Hands a command to the replica here, if it leads, and waits for the answer.
-    pub(crate) async fn command(&self, shard: ShardId, call: CallId, command: Command) -> HostReply {
-        let Some(hosted) = self.get(shard) else { return HostReply::NotLeader(None) };
+    /// Submits a command to the replica on this node and waits for the reply.
+    pub(crate) async fn submit(&self, shard: ShardId, call: CallId, command: Command) -> SubmitOutcome {
+        let Some(hosted) = self.get(shard) else { return SubmitOutcome::NotLeader(None) };
         let (sender, receiver) = oneshot::channel();
         {
             let now = self.context.now();
             let mut hosted = lock(&hosted);
-            hosted.waiting.insert(call, sender);
+            hosted.waiters.insert(call, sender);
             if let Err(not_leader) = hosted.shard.command(command, now) {
-                hosted.waiting.remove(&call);
-                return HostReply::NotLeader(not_leader.hint.map(|leader| leader.node));
+                hosted.waiters.remove(&call);
+                return SubmitOutcome::NotLeader(not_leader.hint.map(|leader| leader.node));
             }
-            self.carry_out(&mut hosted);
+            self.apply_outputs(&mut hosted);
         }
         match receiver.await {
-            Ok(reply) => HostReply::Reply(reply),
-            Err(_) => HostReply::NotLeader(None),
+            Ok(reply) => SubmitOutcome::Reply(reply),
+            Err(_) => SubmitOutcome::NotLeader(None),
         }
     }
 
-    /// Hands over a command that has no answer.
-    pub(crate) fn command_without_reply(&self, shard: ShardId, command: Command) -> bool {
+    /// Submits a command that has no reply. Returns whether the replica on this node accepted it.
+    pub(crate) fn submit_without_reply(&self, shard: ShardId, command: Command) -> bool {
         let Some(hosted) = self.get(shard) else { return false };
         let mut hosted = lock(&hosted);
-        let is_taken = hosted.shard.command(command, self.context.now()).is_ok();
-        self.carry_out(&mut hosted);
-        is_taken
+        let is_accepted = hosted.shard.command(command, self.context.now()).is_ok();
+        self.apply_outputs(&mut hosted);
+        is_accepted
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica. Messages to an earlier incarnation of this node are ignored.
     pub(crate) fn receive(&self, group: GroupMessage) {
-        if group.to != self.context.own {
+        if group.to != self.context.own_replica {
             return;
         }
         let hosted = match self.get(group.shard) {
             Some(hosted) => hosted,
-            None if creates_replica(&group.message) => self.join(group.shard),
+            None if creates_replica(&group.message) => self.join_group(group.shard),
             None => return,
         };
         let mut hosted = lock(&hosted);
         hosted.shard.receive(group.from, group.message, self.context.now());
-        self.carry_out(&mut hosted);
+        self.apply_outputs(&mut hosted);
     }
 
-    /// Lets time pass until the node stops.
+    /// Ticks the replicas until the node stops.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut ticks = 0_u32;
         let tick = || {
             self.tick();
             ticks = ticks.wrapping_add(1);
-            if ticks.is_multiple_of(GAUGE_TICKS) {
+            if ticks.is_multiple_of(GAUGE_UPDATE_TICKS) {
                 self.set_gauges();
             }
         };
-        self.context.every(TICK, tick).await;
+        self.context.run_every(TICK_INTERVAL, tick).await;
     }
 
-    /// Hands all leaderships to nodes that stay. Returns the number of shards still led here.
-    pub(crate) fn hand_over(&self) -> usize {
+    /// Starts transferring each led shard to a usable node. Returns the number of shards still led here.
+    pub(crate) fn transfer_leaderships(&self) -> usize {
         let usable = self.fleet.replica_view().usable;
         let stays = |replica: ReplicaId| usable.iter().any(|candidate| candidate.replica == replica);
         let mut led = 0;
@@ -169,23 +168,23 @@
             {
                 led += 1;
             }
-            self.carry_out(&mut hosted);
+            self.apply_outputs(&mut hosted);
         }
         led
     }
 
-    /// Shards in which a replica here still votes.
-    pub(crate) fn votes(&self) -> usize {
-        let own = self.context.own;
-        let is_voter = |hosted: &Arc<Mutex<Hosted>>| {
+    /// Number of shards in which this node is still a voter.
+    pub(crate) fn voting_shard_count(&self) -> usize {
+        let own_replica = self.context.own_replica;
+        let is_voter = |hosted: &Arc<Mutex<HostedShard>>| {
             let hosted = lock(hosted);
-            hosted.shard.replica().configuration().is_voter(own) && !hosted.shard.is_removed()
+            hosted.shard.replica().configuration().is_voter(own_replica) && !hosted.shard.is_removed()
         };
         self.all().iter().filter(|hosted| is_voter(hosted)).count()
     }
 
-    /// Shards led here, and how many of them have fewer replicas than they could have.
-    pub(crate) fn repair_state(&self) -> (usize, usize) {
+    /// Number of shards led here, and how many of them have fewer replicas than the live nodes allow.
+    pub(crate) fn repair_counts(&self) -> (usize, usize) {
         let view = self.fleet.replica_view();
         let now = self.context.now();
         let (mut led, mut unrepaired) = (0, 0);
@@ -199,8 +198,8 @@
         (led, unrepaired)
     }
 
-    /// Shards held here, with whether they are led here.
-    pub(crate) fn roles(&self) -> Vec<(ShardId, bool, u64)> {
+    /// Shard, whether it is led here, and term of each replica on this node.
+    pub(crate) fn shard_roles(&self) -> Vec<(ShardId, bool, u64)> {
         let now = self.context.now();
         let mut roles: Vec<(ShardId, bool, u64)> = self
             .all()
@@ -226,13 +225,13 @@
             if !self.context.stopping.is_cancelled() {
                 hosted.shard.repair(&view, now);
             }
-            self.carry_out(&mut hosted);
+            self.apply_outputs(&mut hosted);
             if hosted.shard.is_removed() {
                 removed.push(hosted.shard.id());
             }
         }
         for shard in removed {
-            info!(self.context.logger, "replica was removed from its group"; "shard" => shard.0);
+            info!(self.context.logger, "replica removed from its group"; "shard" => shard.0);
             self.write().remove(&shard);
         }
     }
@@ -254,74 +253,75 @@
         metrics.log_bytes.set(log_bytes);
     }
 
-    fn join(&self, id: ShardId) -> Arc<Mutex<Hosted>> {
-        let (own, now, seed) = (self.context.own, self.context.now(), self.context.seed());
-        info!(self.context.logger, "replica joins"; "shard" => id.0);
-        self.insert(ProgramShard::join(id, own, self.settings, seed, now))
+    fn join_group(&self, id: ShardId) -> Arc<Mutex<HostedShard>> {
+        let (own_replica, now, random_seed) =
+            (self.context.own_replica, self.context.now(), self.context.random_seed());
+        info!(self.context.logger, "replica joining its group"; "shard" => id.0);
+        self.insert(ProgramShard::join(id, own_replica, self.settings, random_seed, now))
     }
 
-    fn insert(&self, shard: ProgramShard) -> Arc<Mutex<Hosted>> {
+    fn insert(&self, shard: ProgramShard) -> Arc<Mutex<HostedShard>> {
         let id = shard.id();
-        let hosted = Arc::new(Mutex::new(Hosted { shard, waiting: HashMap::new() }));
+        let hosted = Arc::new(Mutex::new(HostedShard { shard, waiters: HashMap::new() }));
         Arc::clone(self.write().entry(id).or_insert(hosted))
     }
 
-    fn get(&self, shard: ShardId) -> Option<Arc<Mutex<Hosted>>> {
+    fn get(&self, shard: ShardId) -> Option<Arc<Mutex<HostedShard>>> {
         self.shards.read().unwrap_or_else(PoisonError::into_inner).get(&shard).cloned()
     }
 
-    fn all(&self) -> Vec<Arc<Mutex<Hosted>>> {
+    fn all(&self) -> Vec<Arc<Mutex<HostedShard>>> {
         self.shards.read().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 
-    fn write(&self) -> std::sync::RwLockWriteGuard<'_, HashMap<ShardId, Arc<Mutex<Hosted>>>> {
+    fn write(&self) -> std::sync::RwLockWriteGuard<'_, HashMap<ShardId, Arc<Mutex<HostedShard>>>> {
         self.shards.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn carry_out(&self, hosted: &mut Hosted) {
+    fn apply_outputs(&self, hosted: &mut HostedShard) {
         loop {
             let outputs = hosted.shard.take_outputs();
             if outputs.is_empty() {
                 return;
             }
             for output in outputs {
-                self.carry_out_one(hosted, output);
+                self.apply_output(hosted, output);
             }
         }
     }
 
-    fn carry_out_one(&self, hosted: &mut Hosted, output: ShardOutput) {
+    fn apply_output(&self, hosted: &mut HostedShard, output: ShardOutput) {
         let shard = hosted.shard.id();
         match output {
             ShardOutput::Send { to, message } => self.send(shard, to, message),
-            ShardOutput::Reply { call, reply } => self.deliver(hosted, call, reply),
-            ShardOutput::Effect(effect) => self.carry_out_effect(effect),
+            ShardOutput::Reply { call, reply } => self.deliver_reply(hosted, call, reply),
+            ShardOutput::Effect(effect) => self.apply_effect(effect),
             ShardOutput::BecameLeader { term } => {
-                info!(self.context.logger, "leads the shard"; "shard" => shard.0, "term" => term);
-                let node = self.context.own.node;
+                info!(self.context.logger, "became leader of the shard"; "shard" => shard.0, "term" => term);
+                let node = self.context.own_replica.node;
                 for peer in self.fleet.live_peers() {
                     self.context.transport.send(peer, OneWay::LeaderAnnouncement { shard, term, node });
                 }
-                if let Some(client) = self.client() {
-                    client.note_leader(shard, term, node);
+                if let Some(shard_client) = self.shard_client() {
+                    shard_client.record_leader(shard, term, node);
                 }
             }
             ShardOutput::LostLeadership => {
-                info!(self.context.logger, "no longer leads the shard"; "shard" => shard.0);
-                hosted.waiting.clear();
+                info!(self.context.logger, "lost leadership of the shard"; "shard" => shard.0);
+                hosted.waiters.clear();
             }
             ShardOutput::Undecodable => {
-                error!(self.context.logger, "committed bytes can't be read; the replica is dropped";
+                error!(self.context.logger, "failed to decode a committed entry; dropping the replica";
                     "shard" => shard.0);
-                hosted.waiting.clear();
+                hosted.waiters.clear();
                 self.write().remove(&shard);
             }
         }
     }
 
-    /// Answers a command. A permission that nobody waits for any more is given back at once.
-    fn deliver(&self, hosted: &mut Hosted, call: CallId, reply: Reply) {
-        let undelivered = match hosted.waiting.remove(&call) {
+    /// Delivers a reply to its waiter. A turn that was admitted after its waiter left is abandoned at once.
+    fn deliver_reply(&self, hosted: &mut HostedShard, call: CallId, reply: Reply) {
+        let undelivered = match hosted.waiters.remove(&call) {
             Some(waiter) => waiter.send(reply).err(),
             None => Some(reply),
         };
@@ -332,7 +332,7 @@
                 .programs()
                 .find_map(|(program, record)| record.in_flight_call(call).map(|_| program.clone()));
             if let Some(program) = owner {
-                let reason = "its caller left before it began".to_owned();
+                let reason = "the caller disconnected before the turn began".to_owned();
                 let engines = Vec::new();
                 let abandon = Command::AbandonTurn { program, call, output_tokens: 0, engines, reason };
                 let _ = hosted.shard.command(abandon, self.context.now());
@@ -342,52 +342,52 @@
 
     fn send(&self, shard: ShardId, to: ReplicaId, message: Message) {
         let Some(address) = self.fleet.address_of(to.node) else { return };
-        let group = GroupMessage { shard, from: self.context.own, to, message };
+        let group = GroupMessage { shard, from: self.context.own_replica, to, message };
         self.context.transport.send(address, OneWay::Group(Box::new(group)));
     }
 
-    fn carry_out_effect(&self, effect: Effect) {
+    fn apply_effect(&self, effect: Effect) {
         match effect {
             Effect::Reply { .. } => {}
             Effect::Cancel { runner, call } => {
                 if runner == self.context.runner() {
-                    self.calls.cancel(call);
+                    self.running_calls.cancel(call);
                 } else if let Some(address) = self.fleet.address_of(runner.node) {
                     self.context.transport.send(address, OneWay::CancelCall { runner, call });
                 }
             }
-            Effect::FreeEngines { program, engines } => self.router.free_program(&program, &engines),
+            Effect::FreeEngines { program, engines } => self.engine_router.free_program(&program, &engines),
             Effect::EndChild { child } => {
                 let call = CallId::random(&mut rand::rng());
                 let command = Command::EndProgram { call, program: child.clone(), tenant: None };
-                self.follow_up(child, call, command);
+                self.send_follow_up(child, call, command);
             }
             Effect::ReturnToParent { parent, child, unused } => {
                 let call = CallId::random(&mut rand::rng());
                 let command = Command::ReturnChild { parent: parent.clone(), child, unused };
-                self.follow_up(parent, call, command);
+                self.send_follow_up(parent, call, command);
             }
         }
     }
 
     /// Sends a command to another program's shard in the background.
-    fn follow_up(&self, program: sumacdrift_types::ProgramId, call: CallId, command: Command) {
-        let Some(client) = self.client() else { return };
+    fn send_follow_up(&self, program: sumacdrift_types::ProgramId, call: CallId, command: Command) {
+        let Some(shard_client) = self.shard_client() else { return };
         tokio::spawn(async move {
-            client.follow_up(&program, call, command).await;
+            shard_client.send_follow_up(&program, call, command).await;
         });
     }
 
-    fn client(&self) -> Option<Arc<ShardClient>> {
-        self.client.read().unwrap_or_else(PoisonError::into_inner).upgrade()
+    fn shard_client(&self) -> Option<Arc<ShardClient>> {
+        self.shard_client.read().unwrap_or_else(PoisonError::into_inner).upgrade()
     }
 }
 
-fn lock(hosted: &Mutex<Hosted>) -> MutexGuard<'_, Hosted> {
+fn lock(hosted: &Mutex<HostedShard>) -> MutexGuard<'_, HostedShard> {
     hosted.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Only a leader's messages create a replica; a stray vote request must not.
+/// Only messages from a leader create a replica; a stray vote request must not.
 fn creates_replica(message: &Message) -> bool {
     matches!(message, Message::AppendEntries(_) | Message::InstallSnapshot(_))
 }
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,14 +1,13 @@
-//! The node's program as an operator runs it.
+//! Runs the `sumacdrift` binary as an operator does.
 
 use std::process::{Command, Stdio};
 
-/// The program that cargo built for this test.
-const NODE_PROGRAM: &str = env!("CARGO_BIN_EXE_sumacdrift");
+const NODE_BINARY: &str = env!("CARGO_BIN_EXE_sumacdrift");
 
-/// Ends the process whatever happens to the test.
-struct Process(std::process::Child);
+/// Kills the process on drop, also if the test fails.
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Process {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -16,17 +15,15 @@
 }
 
 #[test]
-fn the_program_checks_its_settings_and_names_every_mistake() {
+fn check_reports_every_invalid_or_missing_setting() {
     let folder = std::env::temp_dir().join(format!("sumacdrift-check-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("create the folder");
     let file = folder.join("node.toml");
-    std::fs::write(&file, "[node]\nid = 0\nzone = \"z\"\nregion = \"r\"\ncolour = 1\n").expect("a file");
-    let output = Command::new(NODE_PROGRAM)
-        .args(["check", "--settings"])
-        .arg(&file)
-        .output()
-        .expect("the program runs");
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
+    std::fs::write(&file, "[node]\nid = 0\nzone = \"z\"\nregion = \"r\"\ncolour = 1\n")
+        .expect("write the file");
+    let output =
+        Command::new(NODE_BINARY).args(["check", "--settings"]).arg(&file).output().expect("start the node");
+    std::fs::remove_dir_all(&folder).expect("remove the folder");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{text}");
     for key in ["node.id", "node.colour", "listen.callers", "fleet.founders", "platform.bundle_file"] {
@@ -35,33 +32,33 @@
 }
 
 #[test]
-fn the_program_stops_as_planned_on_sigterm() {
+fn sigterm_shuts_the_node_down_gracefully() {
     let folder = std::env::temp_dir().join(format!("sumacdrift-run-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("create the folder");
     let (file, bundle) = (folder.join("node.toml"), folder.join("bundle.toml"));
-    std::fs::write(&bundle, include_str!("../../../examples/bundle.toml")).expect("a file");
+    std::fs::write(&bundle, include_str!("../../../examples/bundle.toml")).expect("write the file");
     let settings = format!(
         "[node]\nid = 1\nzone = \"z\"\nregion = \"r\"\n[listen]\ncallers = \"127.0.0.1:0\"\n\
          peers = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n[fleet]\nfounders = [1]\n\
          [platform]\nbundle_file = \"{}\"\n",
         bundle.display()
     );
-    std::fs::write(&file, settings).expect("a file");
-    let child = Command::new(NODE_PROGRAM)
+    std::fs::write(&file, settings).expect("write the file");
+    let child = Command::new(NODE_BINARY)
         .args(["run", "--settings"])
         .arg(&file)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program runs");
-    let mut process = Process(child);
-    let stderr = process.0.stderr.take().expect("its log");
+        .expect("start the node");
+    let mut process = KillOnDrop(child);
+    let stderr = process.0.stderr.take().expect("stderr is piped");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(stderr));
     let started = lines.by_ref().map_while(Result::ok).any(|line| line.contains("node started"));
     assert!(started, "the node never started");
     let terminated = Command::new("kill").arg("-TERM").arg(process.0.id().to_string()).status();
     assert!(terminated.expect("kill runs").success());
     let stopped = lines.map_while(Result::ok).any(|line| line.contains("node stopped"));
-    assert!(stopped, "the node did not say that it stopped");
-    assert!(process.0.wait().expect("it ends").success());
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
+    assert!(stopped, "the node did not log that it stopped");
+    assert!(process.0.wait().expect("the node exits").success());
+    std::fs::remove_dir_all(&folder).expect("remove the folder");
 }
