--- a/crates/gateway/src/auth.rs
+++ b/crates/gateway/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls.
+//! Authentication of callers by API key.
 
 use std::sync::Arc;
 
@@ -8,30 +8,28 @@
 
 use crate::Dispatcher;
 
-/// Scheme of the `Authorization` header.
-const SCHEME: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// A caller that showed a valid key, with the configuration that knew it.
+/// An authenticated caller.
 pub(crate) struct Caller {
-    /// The configuration in force when the call came; the whole call uses it.
+    /// Configuration in force when the call arrived; used for the whole call.
     pub(crate) bundle: Arc<Bundle>,
-    /// The tenant.
     pub(crate) tenant: Tenant,
 }
 
-/// Finds the tenant of a request's API key.
+/// Resolves the request's API key to its tenant.
 pub(crate) fn authenticate(dispatcher: &dyn Dispatcher, headers: &HeaderMap) -> Result<Caller, Problem> {
     let bundle = dispatcher.configuration().ok_or_else(|| {
         let detail = "the node has not received a configuration yet";
         Problem::not_run(ResultCode::NoConfiguration, detail)
     })?;
     let value = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let key = value.and_then(|value| value.strip_prefix(SCHEME));
+    let key = value.and_then(|value| value.strip_prefix(BEARER_PREFIX));
     let tenant = key.and_then(|key| bundle.tenant_of_key(&ApiKeyHash::of(key))).cloned();
     match tenant {
         Some(tenant) => Ok(Caller { bundle, tenant }),
         None => {
-            let detail = "the request needs the header Authorization: Bearer KEY with a valid key";
+            let detail = "a valid API key is required in the header Authorization: Bearer KEY";
             Err(Problem::not_run(ResultCode::Unauthenticated, detail))
         }
     }
--- a/crates/gateway/src/chat.rs
+++ b/crates/gateway/src/chat.rs
@@ -1,4 +1,4 @@
-//! The chat completion and model endpoints.
+//! Chat completion and model list endpoints.
 
 use axum::Json;
 use axum::body::Body;
@@ -10,18 +10,22 @@
 
 use crate::ChatCall;
 use crate::auth::authenticate;
-use crate::chat_answer::{AnswerShape, answer};
+use crate::chat_answer::{ResponseFormat, respond};
 use crate::chat_request::{self, ChatRequest};
 use crate::error::ProblemResponse;
 use crate::headers::{self, ProgramHeaders};
-use crate::router::{Gateway, new_call};
+use crate::router::{GatewayState, new_call_id};
 
-/// Prefix of the program that a keyed call without a program belongs to.
+/// Prefix of the names of programs made by [`keyed_program`].
 const KEYED_PROGRAM_PREFIX: &str = "key-";
 
 /// `POST /v1/chat/completions`.
-pub(crate) async fn complete(State(gateway): State<Gateway>, headers: HeaderMap, body: Body) -> Response {
-    let call = new_call();
+pub(crate) async fn complete(
+    State(gateway): State<GatewayState>,
+    headers: HeaderMap,
+    body: Body,
+) -> Response {
+    let call = new_call_id();
     match try_complete(gateway, call, &headers, body).await {
         Ok(response) => response,
         Err(problem) => ProblemResponse::of_call(problem, call).into_response(),
@@ -29,56 +33,61 @@
 }
 
 async fn try_complete(
-    gateway: Gateway,
+    gateway: GatewayState,
     call: CallId,
     headers: &HeaderMap,
     body: Body,
 ) -> Result<Response, Problem> {
     gateway.dispatcher.check_ready()?;
     let caller = authenticate(gateway.dispatcher.as_ref(), headers)?;
-    let found = headers::read(headers)?;
-    let counted = gateway.limits.enter(&caller.tenant)?;
+    let program_headers = headers::read(headers)?;
+    let permit = gateway.limits.acquire(&caller.tenant)?;
     let body = gateway.read_body(body).await?;
     let request = chat_request::parse(&body)?;
-    let shape = AnswerShape {
+    let format = ResponseFormat {
         call,
         model: request.model.clone(),
         is_stream: request.is_stream,
         include_usage: request.include_usage,
     };
-    let chat_call = to_call(call, caller.tenant.name, found, request);
+    let chat_call = to_chat_call(call, caller.tenant.name, program_headers, request);
     let stream = gateway.dispatcher.clone().chat(chat_call).await?;
-    answer(stream, shape, counted).await
+    respond(stream, format, permit).await
 }
 
-fn to_call(call: CallId, tenant: TenantName, found: ProgramHeaders, request: ChatRequest) -> ChatCall {
-    let keyed_program = found.key.as_ref().map(|key| keyed_program(&tenant, key));
+fn to_chat_call(
+    call: CallId,
+    tenant: TenantName,
+    program_headers: ProgramHeaders,
+    request: ChatRequest,
+) -> ChatCall {
+    let keyed_program = program_headers.key.as_ref().map(|key| keyed_program(&tenant, key));
     ChatCall {
         call,
         tenant,
-        program: found.program.or(keyed_program),
-        parent: found.parent,
-        turn: found.turn,
-        key: found.key,
-        mode: found.mode,
+        program: program_headers.program.or(keyed_program),
+        parent: program_headers.parent,
+        turn: program_headers.turn,
+        key: program_headers.key,
+        mode: program_headers.mode,
         model: request.model,
         messages: request.messages,
         parameters: request.parameters,
         max_tokens: request.max_tokens,
-        deadline: found.deadline,
+        deadline: program_headers.deadline,
     }
 }
 
-/// A call with a key and without a program is a program of one call, named after tenant and key, so that a
-/// repetition finds the recorded answer.
+/// Program of a call that has an idempotency key but names no program. The name is derived from tenant and key, so
+/// that a retry finds the recorded answer.
 fn keyed_program(tenant: &TenantName, key: &IdempotencyKey) -> ProgramId {
     let digest = blake3::hash(format!("{tenant}/{key}").as_bytes());
     let name = format!("{KEYED_PROGRAM_PREFIX}{}", digest.to_hex());
-    ProgramId::new(&name).unwrap_or_else(|_| unreachable!("hexadecimal digits make a valid name"))
+    ProgramId::new(&name).unwrap_or_else(|_| unreachable!("a prefix with hexadecimal digits is a valid name"))
 }
 
 /// `GET /v1/models`.
-pub(crate) async fn models(State(gateway): State<Gateway>, headers: HeaderMap) -> Response {
+pub(crate) async fn models(State(gateway): State<GatewayState>, headers: HeaderMap) -> Response {
     let caller = match authenticate(gateway.dispatcher.as_ref(), &headers) {
         Ok(caller) => caller,
         Err(problem) => return ProblemResponse::from(problem).into_response(),
--- a/crates/gateway/src/chat_answer.rs
+++ b/crates/gateway/src/chat_answer.rs
@@ -1,4 +1,4 @@
-//! Answers to chat completion requests, whole or as server-sent events.
+//! Chat completion responses, as a single JSON body or as server-sent events.
 
 use std::io;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -15,40 +15,40 @@
 
 use crate::error::problem_json;
 use crate::headers::{CALL, PROGRAM, REPLAYED, TURN};
-use crate::limits::CountedCall;
+use crate::limits::CallPermit;
 use crate::{ChatHead, ChatItem, ChatStream};
 
-/// What the caller wants the answer to look like.
-pub(crate) struct AnswerShape {
+/// The form of response that the caller requested.
+pub(crate) struct ResponseFormat {
     pub(crate) call: CallId,
     pub(crate) model: ModelName,
     pub(crate) is_stream: bool,
     pub(crate) include_usage: bool,
 }
 
-/// Makes the response. `counted` is held until the answer has ended.
-pub(crate) async fn answer(
+/// Builds the response. `permit` is held until the whole answer has been sent.
+pub(crate) async fn respond(
     stream: ChatStream,
-    shape: AnswerShape,
-    counted: CountedCall,
+    format: ResponseFormat,
+    permit: CallPermit,
 ) -> Result<Response, Problem> {
     let head = stream.head;
-    let mut response = if shape.is_stream {
-        stream_answer(stream.items, &shape, counted)
+    let mut response = if format.is_stream {
+        respond_with_events(stream.items, &format, permit)
     } else {
-        whole_answer(stream.items, &shape).await?
+        respond_with_json(stream.items, &format).await?
     };
-    add_headers(response.headers_mut(), &shape, &head);
+    add_headers(response.headers_mut(), &format, &head);
     Ok(response)
 }
 
-fn add_headers(headers: &mut HeaderMap, shape: &AnswerShape, head: &ChatHead) {
+fn add_headers(headers: &mut HeaderMap, format: &ResponseFormat, head: &ChatHead) {
     let mut add = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
             headers.insert(name, value);
         }
     };
-    add(CALL, shape.call.to_string());
+    add(CALL, format.call.to_string());
     if let Some(program) = &head.program {
         add(PROGRAM, program.to_string());
         add(TURN, head.turn.to_string());
@@ -58,29 +58,32 @@
     }
 }
 
-async fn whole_answer(mut items: mpsc::Receiver<ChatItem>, shape: &AnswerShape) -> Result<Response, Problem> {
+async fn respond_with_json(
+    mut items: mpsc::Receiver<ChatItem>,
+    format: &ResponseFormat,
+) -> Result<Response, Problem> {
     let mut message = None;
     while let Some(item) = items.recv().await {
         match item {
             ChatItem::Deltas(_) => {}
-            ChatItem::Message(whole) => message = Some(whole),
+            ChatItem::Message(complete) => message = Some(complete),
             ChatItem::Failed(problem) => return Err(problem),
             ChatItem::Finished { reason, usage } => {
                 let Some(message) = message else { break };
-                return Ok(Json(completion_json(shape, &message, &reason, usage)).into_response());
+                return Ok(Json(completion_json(format, &message, &reason, usage)).into_response());
             }
         }
     }
-    Err(Problem::unknown(ResultCode::Internal, "the answer ended without an end"))
+    Err(Problem::unknown(ResultCode::Internal, "the answer stream closed before the answer was complete"))
 }
 
-fn completion_json(shape: &AnswerShape, message: &ChatMessage, reason: &str, usage: Usage) -> Value {
+fn completion_json(format: &ResponseFormat, message: &ChatMessage, reason: &str, usage: Usage) -> Value {
     let message: Value = serde_json::from_str(message.canonical()).unwrap_or(Value::Null);
     json!({
-        "id": completion_id(shape.call),
+        "id": completion_id(format.call),
         "object": "chat.completion",
         "created": unix_seconds(),
-        "model": shape.model.as_str(),
+        "model": format.model.as_str(),
         "choices": [{"index": 0, "message": message, "finish_reason": reason, "logprobs": null}],
         "usage": usage_json(usage),
     })
@@ -103,31 +106,35 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
 
-/// The state of a response that is being streamed.
+/// State of a streamed response.
 struct EventStream {
     items: mpsc::Receiver<ChatItem>,
-    /// Beginning of each event, the same for the whole answer.
+    /// Start of each event's text; constant for the whole response.
     prefix: String,
     include_usage: bool,
     is_first: bool,
     is_ended: bool,
-    _counted: CountedCall,
+    _permit: CallPermit,
 }
 
-fn stream_answer(items: mpsc::Receiver<ChatItem>, shape: &AnswerShape, counted: CountedCall) -> Response {
+fn respond_with_events(
+    items: mpsc::Receiver<ChatItem>,
+    format: &ResponseFormat,
+    permit: CallPermit,
+) -> Response {
     let prefix = format!(
         "data: {{\"id\":\"{}\",\"object\":\"chat.completion.chunk\",\"created\":{},\"model\":\"{}\",\"choices\":[",
-        completion_id(shape.call),
+        completion_id(format.call),
         unix_seconds(),
-        shape.model,
+        format.model,
     );
     let state = EventStream {
         items,
         prefix,
-        include_usage: shape.include_usage,
+        include_usage: format.include_usage,
         is_first: true,
         is_ended: false,
-        _counted: counted,
+        _permit: permit,
     };
     let events = stream::unfold(state, |mut state| async move {
         let bytes = state.next_bytes().await?;
@@ -151,7 +158,7 @@
                 Some(ChatItem::Finished { reason, usage }) => self.push_end(&reason, usage, &mut events),
                 Some(ChatItem::Failed(problem)) => self.push_problem(&problem, &mut events),
                 None => {
-                    let detail = "the answer ended without an end";
+                    let detail = "the answer stream closed before the answer was complete";
                     self.push_problem(&Problem::unknown(ResultCode::Internal, detail), &mut events);
                 }
             }
@@ -193,7 +200,7 @@
         events.push_str("data: [DONE]\n\n");
     }
 
-    /// Ends a stream with a problem and without `[DONE]`, so that no client takes it for a whole answer.
+    /// Ends the stream without `[DONE]`, so that no client takes the answer for complete.
     fn push_problem(&mut self, problem: &Problem, events: &mut String) {
         self.is_ended = true;
         events.push_str("data: ");
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! What the face needs of the rest of the node.
+//! The interface between the HTTP front end and the node that executes calls.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,156 +15,145 @@
 };
 use tokio::sync::mpsc;
 
-/// A future whose kind does not matter.
+/// A boxed future, as [`Dispatcher`] must be usable as a trait object.
 pub type DispatchFuture<T> = Pin<Box<dyn Future<Output = Result<T, Problem>> + Send>>;
 
-/// Runs calls.
+/// Executes calls on behalf of the HTTP front end.
 pub trait Dispatcher: Send + Sync + 'static {
-    /// The configuration in force.
+    /// The configuration in force; `None` until the node has received one.
     fn configuration(&self) -> Option<Arc<Bundle>>;
 
-    /// Whether the node takes new calls; otherwise why not.
+    /// Fails with the reason if the node accepts no new calls.
     fn check_ready(&self) -> Result<(), Problem>;
 
-    /// Runs a turn. Resolves when it is known that the turn runs or ran.
+    /// Runs a turn. Resolves once the turn has started or its recorded answer was found.
     fn chat(self: Arc<Self>, call: ChatCall) -> DispatchFuture<ChatStream>;
 
-    /// Runs a call of a plain service.
+    /// Calls a plain HTTP service.
     fn service(self: Arc<Self>, call: ServiceCall) -> DispatchFuture<ServiceAnswer>;
 
-    /// Reports on a program.
+    /// Reports a program's state and one page of its history.
     fn describe(self: Arc<Self>, call: ProgramCall, page: Page) -> DispatchFuture<ProgramReport>;
 
-    /// Ends a program.
+    /// Ends a program at its caller's request.
     fn end_program(self: Arc<Self>, call: ProgramCall) -> DispatchFuture<()>;
 }
 
-/// A turn as a caller asked for it.
+/// A turn requested by a caller.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct ChatCall {
-    /// The call.
     pub call: CallId,
-    /// Who calls.
     pub tenant: TenantName,
-    /// The program; `None` for a call that stands alone and leaves no state.
+    /// `None` for a standalone call that leaves no state.
     pub program: Option<ProgramId>,
-    /// The program that started it.
+    /// The program that started this one.
     pub parent: Option<ProgramId>,
-    /// The turn; `None` stands for the next one.
+    /// `None` stands for the program's next turn.
     pub turn: Option<TurnNumber>,
-    /// The caller's key.
+    /// Idempotency key chosen by the caller.
     pub key: Option<IdempotencyKey>,
-    /// How the messages relate to the history.
+    /// Whether the messages include the recorded history or are appended to it.
     pub mode: HistoryMode,
-    /// The model.
     pub model: ModelName,
-    /// The messages.
     pub messages: Vec<ChatMessage>,
-    /// The caller's other parameters, passed on to the engine.
+    /// All other request parameters, passed on to the engine.
     pub parameters: Map<String, Value>,
-    /// Cap on generated tokens, if the caller named one.
+    /// Maximum number of generated tokens, if the caller set one.
     pub max_tokens: Option<TokenCount>,
-    /// How long the caller waits for the whole answer, if it said so.
+    /// Time limit for the whole answer, if the caller set one.
     pub deadline: Option<Duration>,
 }
 
-/// What is known of a turn before its first token.
+/// Metadata of a turn that is known before its first token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChatHead {
-    /// The program, for a call that belongs to one.
+    /// `None` for a standalone call.
     pub program: Option<ProgramId>,
-    /// The turn that runs.
+    /// The turn that the answer belongs to.
     pub turn: TurnNumber,
-    /// Whether the answer comes from the history.
+    /// Whether the answer was recorded by an earlier run of the turn.
     pub is_replay: bool,
 }
 
-/// A turn's answer as it comes.
+/// The streamed answer to a turn.
 #[derive(Debug)]
 pub struct ChatStream {
-    /// What is known beforehand.
+    /// Metadata known before the first token.
     pub head: ChatHead,
-    /// The pieces. Dropping the receiver tells the node that the caller has left.
+    /// Parts of the answer. Dropping the receiver tells the node that the caller has disconnected.
     pub items: mpsc::Receiver<ChatItem>,
 }
 
-/// A piece of an answer.
+/// Part of a streamed answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChatItem {
-    /// Pieces of the assistant's message that arrived together, as `delta` members.
+    /// JSON texts of `delta` members that arrived together.
     Deltas(Vec<String>),
-    /// The whole message, before the end; only callers that do not stream need it.
+    /// The complete message, sent before `Finished`; used for non-streaming responses only.
     Message(ChatMessage),
-    /// The regular end. For a program's turn it comes only after the answer was committed.
+    /// Successful end. For a program's turn it is sent only after the answer was committed.
     Finished {
-        /// The engine's reason for stopping.
+        /// The `finish_reason` given by the engine.
         reason: String,
-        /// Tokens used.
+        /// Token counts of the turn.
         usage: Usage,
     },
-    /// The answer can't be completed.
+    /// The answer could not be completed.
     Failed(Problem),
 }
 
-/// A call of a plain service.
+/// A call of a plain HTTP service.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct ServiceCall {
-    /// The call.
     pub call: CallId,
-    /// Who calls.
     pub tenant: TenantName,
-    /// The service.
     pub service: ServiceName,
-    /// The caller's key.
+    /// Idempotency key chosen by the caller.
     pub key: Option<IdempotencyKey>,
-    /// HTTP method.
     pub method: String,
-    /// Path and query after the service's name.
+    /// Path and query after the service's name; begins with a slash.
     pub path: String,
-    /// The request's `content-type` and `accept`.
+    /// The request's `content-type` and `accept`, as far as present.
     pub headers: Vec<ServiceHeader>,
-    /// The body.
     pub body: Bytes,
 }
 
-/// A header that is passed on to a service.
+/// A request header that is forwarded to a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct ServiceHeader {
-    /// Name.
     pub name: &'static str,
-    /// Value.
     pub value: String,
 }
 
-/// A service's answer.
+/// The response of a plain HTTP service.
 #[derive(Debug)]
+#[allow(missing_docs)]
 pub struct ServiceAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The `content-type`.
     pub content_type: Option<String>,
-    /// Whether the answer comes from the ledger.
+    /// Whether the response was recorded in the ledger by an earlier run of the call.
     pub is_replay: bool,
-    /// The body.
     pub body: ServiceBody,
 }
 
-/// The body of a service's answer.
+/// The body of a service's response.
 #[derive(Debug)]
 pub enum ServiceBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Pieces as they come.
+    /// Chunks as they arrive from the service.
     Pieces(mpsc::Receiver<Result<Bytes, std::io::Error>>),
 }
 
-/// A request about a program.
+/// A request to report on or end a program.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct ProgramCall {
-    /// Identifies the request.
     pub call: CallId,
-    /// Who asks.
     pub tenant: TenantName,
-    /// The program.
     pub program: ProgramId,
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! Problems as HTTP responses: RFC 9457 problem JSON.
+//! Conversion of problems to RFC 9457 `application/problem+json` responses.
 
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
@@ -7,19 +7,17 @@
 
 use crate::headers::CALL;
 
-/// Prefix of the problem type's address; the number follows.
+/// Prefix of the `type` URI; the number of the result code follows.
 const TYPE_PREFIX: &str = "https://sumacdrift.example/problems/";
 
-/// A problem on its way to a caller.
 #[derive(Debug)]
 pub(crate) struct ProblemResponse {
     problem: Problem,
-    /// The call, by which an operator finds it in the logs.
+    /// Sent in a header, so that the call can be found in the logs.
     call: Option<CallId>,
 }
 
 impl ProblemResponse {
-    /// The problem of a call.
     pub(crate) fn of_call(problem: Problem, call: CallId) -> Self {
         Self { problem, call: Some(call) }
     }
@@ -50,7 +48,7 @@
     }
 }
 
-/// A problem's JSON. It also carries the `error` member that OpenAI clients look for.
+/// Includes the `error` member that OpenAI clients expect.
 pub(crate) fn problem_json(problem: &Problem) -> Value {
     let number = problem.code.number();
     json!({
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! The system's own request headers.
+//! Names of the system's HTTP headers, and parsing of its request headers.
 
 use std::time::Duration;
 
@@ -14,10 +14,9 @@
 pub(crate) const CALL: &str = "sumacdrift-call";
 pub(crate) const REPLAYED: &str = "sumacdrift-replayed";
 
-/// Longest deadline that a caller may ask for.
 const MAX_DEADLINE_SECONDS: f64 = 86_400.0;
 
-/// What a request's headers say of the program.
+/// The request headers that concern a chat call's program and deadline.
 #[derive(Debug, Default)]
 pub(crate) struct ProgramHeaders {
     pub(crate) program: Option<ProgramId>,
@@ -28,18 +27,18 @@
     pub(crate) deadline: Option<Duration>,
 }
 
-/// Reads and checks the system's headers.
+/// Parses the headers and checks that their combination is valid.
 pub(crate) fn read(headers: &HeaderMap) -> Result<ProgramHeaders, Problem> {
-    let program = name(headers, PROGRAM)?;
-    let parent = name(headers, PARENT)?;
-    let turn = match text(headers, TURN)? {
+    let program = parse_name(headers, PROGRAM)?;
+    let parent = parse_name(headers, PARENT)?;
+    let turn = match single_value(headers, TURN)? {
         None => None,
         Some(text) => {
-            let number = text.parse().map_err(|_| invalid(TURN, "a whole number from 0 is needed"))?;
+            let number = text.parse().map_err(|_| invalid(TURN, "expected a non-negative integer"))?;
             Some(TurnNumber(number))
         }
     };
-    let found = ProgramHeaders {
+    let parsed = ProgramHeaders {
         program,
         parent,
         turn,
@@ -47,73 +46,72 @@
         mode: history_mode(headers)?,
         deadline: deadline(headers)?,
     };
-    check_together(&found)?;
-    Ok(found)
+    check_combination(&parsed)?;
+    Ok(parsed)
 }
 
-/// Reads the idempotency key alone.
 pub(crate) fn idempotency_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, Problem> {
-    name(headers, IDEMPOTENCY_KEY)
+    parse_name(headers, IDEMPOTENCY_KEY)
 }
 
-fn check_together(found: &ProgramHeaders) -> Result<(), Problem> {
-    if found.program.is_some() {
-        if found.program == found.parent {
-            return Err(invalid(PARENT, "a program can't be its own parent"));
+fn check_combination(parsed: &ProgramHeaders) -> Result<(), Problem> {
+    if parsed.program.is_some() {
+        if parsed.program == parsed.parent {
+            return Err(invalid(PARENT, "a program cannot be its own parent"));
         }
         return Ok(());
     }
-    if found.turn.is_some() {
-        return Err(invalid(TURN, "it needs Sumacdrift-Program beside it"));
+    if parsed.turn.is_some() {
+        return Err(invalid(TURN, "requires Sumacdrift-Program"));
     }
-    if found.parent.is_some() {
-        return Err(invalid(PARENT, "it needs Sumacdrift-Program beside it"));
+    if parsed.parent.is_some() {
+        return Err(invalid(PARENT, "requires Sumacdrift-Program"));
     }
-    if found.mode == HistoryMode::Append {
-        return Err(invalid(HISTORY, "append needs Sumacdrift-Program beside it"));
+    if parsed.mode == HistoryMode::Append {
+        return Err(invalid(HISTORY, "append requires Sumacdrift-Program"));
     }
     Ok(())
 }
 
 fn history_mode(headers: &HeaderMap) -> Result<HistoryMode, Problem> {
-    match text(headers, HISTORY)? {
+    match single_value(headers, HISTORY)? {
         None | Some("full") => Ok(HistoryMode::Full),
         Some("append") => Ok(HistoryMode::Append),
-        Some(_) => Err(invalid(HISTORY, "full or append is needed")),
+        Some(_) => Err(invalid(HISTORY, "expected full or append")),
     }
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
-    let Some(text) = text(headers, DEADLINE)? else { return Ok(None) };
+    let Some(text) = single_value(headers, DEADLINE)? else { return Ok(None) };
     let seconds: Option<f64> = text.parse().ok();
     let in_range = seconds.filter(|seconds| *seconds > 0.0 && *seconds <= MAX_DEADLINE_SECONDS);
     match in_range {
         Some(seconds) => Ok(Some(Duration::from_secs_f64(seconds))),
-        None => Err(invalid(DEADLINE, "a number of seconds above 0 is needed")),
+        None => Err(invalid(DEADLINE, "expected a number of seconds above 0 and up to 86400")),
     }
 }
 
-fn name<T: TryFrom<String>>(headers: &HeaderMap, header: &'static str) -> Result<Option<T>, Problem>
+fn parse_name<T: TryFrom<String>>(headers: &HeaderMap, header: &'static str) -> Result<Option<T>, Problem>
 where
     T::Error: std::fmt::Display,
 {
-    let Some(text) = text(headers, header)? else { return Ok(None) };
+    let Some(text) = single_value(headers, header)? else { return Ok(None) };
     match T::try_from(text.to_owned()) {
         Ok(name) => Ok(Some(name)),
         Err(error) => Err(invalid(header, &error.to_string())),
     }
 }
 
-/// The header's value; a header that appears twice is refused, since either value might be the one meant.
-fn text<'a>(headers: &'a HeaderMap, header: &'static str) -> Result<Option<&'a str>, Problem> {
+/// Returns the header's value. A header that appears more than once is rejected as ambiguous.
+fn single_value<'a>(headers: &'a HeaderMap, header: &'static str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(header).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(invalid(header, "it appears more than once"));
+        return Err(invalid(header, "appears more than once"));
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text)),
-        Err(_) => Err(invalid(header, "it holds characters outside ASCII")),
+        Err(_) => Err(invalid(header, "contains characters other than visible ASCII")),
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The callers' face: OpenAI chat completions, programs and plain services over HTTP.
+//! HTTP front end for OpenAI chat completions, programs and plain services.
 //!
-//! This crate turns HTTP into typed calls and typed answers into HTTP. What a call does is behind the
-//! [`Dispatcher`] trait, so that the face can be tested without a fleet and the fleet without HTTP.
+//! Translates between HTTP and the typed calls of the [`Dispatcher`] trait, so that HTTP handling and call
+//! execution can be tested separately.
 
 mod auth;
 mod chat;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Calls that a tenant has under way on this node.
+//! Per-tenant limit on calls in flight on this node.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,52 +7,52 @@
 use sumacdrift_config::Tenant;
 use sumacdrift_types::{Problem, ResultCode, TenantName};
 
-/// When a tenant that reached its limit may try again.
+/// Retry delay given to callers of a tenant that has reached its limit.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Counts calls under way by tenant.
+/// Counts calls in flight by tenant; clones share the counts.
 #[derive(Debug, Clone, Default)]
 pub struct TenantLimits {
-    running: Arc<Mutex<HashMap<TenantName, usize>>>,
+    in_flight: Arc<Mutex<HashMap<TenantName, usize>>>,
 }
 
-/// One counted call; dropping it ends the counting.
+/// A counted call; dropping it decrements its tenant's count.
 #[derive(Debug)]
-pub(crate) struct CountedCall {
+pub(crate) struct CallPermit {
     limits: TenantLimits,
     tenant: TenantName,
 }
 
 impl TenantLimits {
-    /// Counts one more call, unless the tenant has reached its limit.
-    pub(crate) fn enter(&self, tenant: &Tenant) -> Result<CountedCall, Problem> {
-        let mut running = self.lock();
-        let count = running.entry(tenant.name.clone()).or_default();
+    /// Counts one more call, or fails if the tenant has reached its limit.
+    pub(crate) fn acquire(&self, tenant: &Tenant) -> Result<CallPermit, Problem> {
+        let mut in_flight = self.lock();
+        let count = in_flight.entry(tenant.name.clone()).or_default();
         if *count >= tenant.max_calls_per_node {
-            let detail = format!("{count} calls of the tenant are under way on this node");
+            let detail = format!("the tenant has {count} calls in flight on this node");
             return Err(Problem::not_run(ResultCode::TenantLimit, detail).with_retry_after(RETRY_AFTER));
         }
         *count += 1;
-        Ok(CountedCall { limits: self.clone(), tenant: tenant.name.clone() })
+        Ok(CallPermit { limits: self.clone(), tenant: tenant.name.clone() })
     }
 
-    /// All calls under way.
+    /// Calls in flight of all tenants.
     pub fn total(&self) -> usize {
         self.lock().values().sum()
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<TenantName, usize>> {
-        self.running.lock().unwrap_or_else(PoisonError::into_inner)
+        self.in_flight.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for CountedCall {
+impl Drop for CallPermit {
     fn drop(&mut self) {
-        let mut running = self.limits.lock();
-        if let Some(count) = running.get_mut(&self.tenant) {
+        let mut in_flight = self.limits.lock();
+        if let Some(count) = in_flight.get_mut(&self.tenant) {
             *count -= 1;
             if *count == 0 {
-                running.remove(&self.tenant);
+                in_flight.remove(&self.tenant);
             }
         }
     }
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening for callers: limits on connections and slow clients, and a stop that cuts nothing.
+//! HTTP listener with a connection limit, a header timeout and graceful shutdown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use tokio_util::sync::CancellationToken;
 use tower::ServiceExt;
 
-/// Pause after a failed accept, which running out of descriptors causes.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, such as when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Limits on connections.
+/// Limits on connections from callers.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerSettings {
-    /// Connections at a time; further ones wait to be accepted.
+    /// Maximum number of concurrent connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time for a request's headers, which also ends connections that are half open.
+    /// Time limit for receiving a request's headers; also closes half-open connections.
     pub header_timeout: Duration,
-    /// How long a stop waits for answers under way.
+    /// How long a shutdown waits for responses in flight.
     pub drain_timeout: Duration,
 }
 
-/// Serves until `stop` is cancelled, then lets every answer under way finish. Returns whether all did.
+/// Serves until `stop` is cancelled, then drains. Returns whether all responses in flight finished in time.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -44,7 +44,7 @@
         };
         match accepted {
             Ok((stream, slot)) => serve_connection(stream, slot, router.clone(), settings, &graceful),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     drop(listener);
@@ -77,7 +77,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
-        // An error here is a client that broke off or broke the protocol; it has been answered or is gone.
+        // An error means that the client disconnected or violated the protocol; nothing is left to answer.
         let _ = connection.await;
         drop(slot);
     });
--- a/crates/gateway/src/programs.rs
+++ b/crates/gateway/src/programs.rs
@@ -1,4 +1,4 @@
-//! The program endpoints.
+//! Endpoints that report on programs and end them.
 
 use axum::Json;
 use axum::extract::{Path, Query, State};
@@ -12,12 +12,11 @@
 use crate::ProgramCall;
 use crate::auth::authenticate;
 use crate::error::ProblemResponse;
-use crate::router::{Gateway, new_call};
+use crate::router::{GatewayState, new_call_id};
 
-/// Messages in one report at the most.
-const MAX_MESSAGES: usize = 200;
+const MAX_MESSAGES_PER_REPORT: usize = 200;
 
-/// Which part of the history is wanted.
+/// Query parameters that select a range of the history.
 #[derive(Debug, Deserialize)]
 pub(crate) struct PageQuery {
     #[serde(default)]
@@ -27,17 +26,18 @@
 }
 
 fn all_messages() -> usize {
-    MAX_MESSAGES
+    MAX_MESSAGES_PER_REPORT
 }
 
 /// `GET /v1/programs/{id}`.
 pub(crate) async fn describe(
-    State(gateway): State<Gateway>,
+    State(gateway): State<GatewayState>,
     Path(program): Path<String>,
     Query(query): Query<PageQuery>,
     headers: HeaderMap,
 ) -> Response {
-    let page = Page { first_message: query.first_message, messages: query.messages.min(MAX_MESSAGES) };
+    let page =
+        Page { first_message: query.first_message, messages: query.messages.min(MAX_MESSAGES_PER_REPORT) };
     let call = match program_call(&gateway, &program, &headers) {
         Ok(call) => call,
         Err(problem) => return ProblemResponse::from(problem).into_response(),
@@ -50,7 +50,7 @@
 
 /// `DELETE /v1/programs/{id}`.
 pub(crate) async fn end(
-    State(gateway): State<Gateway>,
+    State(gateway): State<GatewayState>,
     Path(program): Path<String>,
     headers: HeaderMap,
 ) -> Response {
@@ -64,11 +64,11 @@
     }
 }
 
-fn program_call(gateway: &Gateway, program: &str, headers: &HeaderMap) -> Result<ProgramCall, Problem> {
+fn program_call(gateway: &GatewayState, program: &str, headers: &HeaderMap) -> Result<ProgramCall, Problem> {
     let caller = authenticate(gateway.dispatcher.as_ref(), headers)?;
     let program = ProgramId::new(program)
         .map_err(|error| Problem::not_run(ResultCode::UnknownProgram, error.to_string()))?;
-    Ok(ProgramCall { call: new_call(), tenant: caller.tenant.name, program })
+    Ok(ProgramCall { call: new_call_id(), tenant: caller.tenant.name, program })
 }
 
 fn report_json(report: &ProgramReport, page: Page) -> Value {
@@ -79,7 +79,7 @@
         "tenant": report.tenant,
         "parent": report.parent,
         "sub_agents": report.children,
-        "state": state_word(report),
+        "state": state_text(report),
         "call_under_way": report.in_flight.map(|call| call.to_string()),
         "next_turn": report.next_turn.0,
         "budget": budget_json(report),
@@ -93,7 +93,7 @@
     })
 }
 
-fn state_word(report: &ProgramReport) -> &'static str {
+fn state_text(report: &ProgramReport) -> &'static str {
     match (report.ended, report.in_flight) {
         (Some(EndReason::Caller), _) => "ended by its caller",
         (Some(EndReason::LeaseExpired), _) => "ended, since nobody continued it",
--- a/crates/gateway/src/router.rs
+++ b/crates/gateway/src/router.rs
@@ -1,4 +1,4 @@
-//! Routes, and what they share.
+//! Routes, shared handler state and request body limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,26 +15,26 @@
 use crate::error::ProblemResponse;
 use crate::{Dispatcher, TenantLimits, chat, programs, services};
 
-/// Limits on requests.
+/// Limits on request bodies.
 #[derive(Debug, Clone, Copy)]
 pub struct GatewaySettings {
-    /// Largest body, in bytes.
+    /// Largest accepted body, in bytes.
     pub body_bytes: usize,
-    /// Time for a body to arrive.
+    /// Time limit for receiving a whole body.
     pub body_timeout: Duration,
 }
 
-/// What every handler needs.
+/// State shared by all handlers.
 #[derive(Clone)]
-pub(crate) struct Gateway {
+pub(crate) struct GatewayState {
     pub(crate) dispatcher: Arc<dyn Dispatcher>,
     pub(crate) limits: TenantLimits,
     pub(crate) settings: GatewaySettings,
 }
 
-/// The callers' face.
+/// Builds the router for all endpoints that callers use.
 pub fn router(dispatcher: Arc<dyn Dispatcher>, limits: TenantLimits, settings: GatewaySettings) -> Router {
-    let gateway = Gateway { dispatcher, limits, settings };
+    let gateway = GatewayState { dispatcher, limits, settings };
     Router::new()
         .route("/v1/chat/completions", post(chat::complete))
         .route("/v1/models", get(chat::models))
@@ -46,46 +46,45 @@
         .with_state(gateway)
 }
 
-async fn not_found(State(_): State<Gateway>) -> Response {
+async fn not_found(State(_): State<GatewayState>) -> Response {
     let problem = Problem::not_run(ResultCode::NotFound, "no such path");
     ProblemResponse::from(problem).into_response()
 }
 
-async fn method_not_allowed(State(_): State<Gateway>) -> Response {
-    let problem = Problem::not_run(ResultCode::MethodNotAllowed, "the path does not take this method");
+async fn method_not_allowed(State(_): State<GatewayState>) -> Response {
+    let problem = Problem::not_run(ResultCode::MethodNotAllowed, "the path does not support this method");
     ProblemResponse::from(problem).into_response()
 }
 
-impl Gateway {
-    /// Gathers a request's body within the limits on size and time.
+impl GatewayState {
+    /// Reads a whole request body within the limits on size and time.
     pub(crate) async fn read_body(&self, body: Body) -> Result<Bytes, Problem> {
-        let gathered = tokio::time::timeout(self.settings.body_timeout, self.gather(body)).await;
-        gathered.unwrap_or_else(|_| {
+        let collected = tokio::time::timeout(self.settings.body_timeout, self.collect_body(body)).await;
+        collected.unwrap_or_else(|_| {
             let seconds = self.settings.body_timeout.as_secs_f64();
-            let detail = format!("the body did not arrive within {seconds} s");
+            let detail = format!("the body was not received within {seconds} s");
             Err(Problem::not_run(ResultCode::RequestTooSlow, detail))
         })
     }
 
-    async fn gather(&self, body: Body) -> Result<Bytes, Problem> {
-        let mut pieces = body.into_data_stream();
-        let mut gathered = BytesMut::new();
-        while let Some(piece) = pieces.next().await {
-            let piece = piece.map_err(|error| {
-                let detail = format!("the body broke off: {error}");
+    async fn collect_body(&self, body: Body) -> Result<Bytes, Problem> {
+        let mut chunks = body.into_data_stream();
+        let mut collected = BytesMut::new();
+        while let Some(chunk) = chunks.next().await {
+            let chunk = chunk.map_err(|error| {
+                let detail = format!("reading the body failed: {error}");
                 Problem::not_run(ResultCode::MalformedBody, detail)
             })?;
-            if gathered.len() + piece.len() > self.settings.body_bytes {
+            if collected.len() + chunk.len() > self.settings.body_bytes {
                 let detail = format!("the body is larger than {} bytes", self.settings.body_bytes);
                 return Err(Problem::not_run(ResultCode::BodyTooLarge, detail));
             }
-            gathered.extend_from_slice(&piece);
+            collected.extend_from_slice(&chunk);
         }
-        Ok(gathered.freeze())
+        Ok(collected.freeze())
     }
 }
 
-/// A fresh call id.
-pub(crate) fn new_call() -> CallId {
+pub(crate) fn new_call_id() -> CallId {
     CallId::random(&mut rand::rng())
 }
--- a/crates/gateway/src/services.rs
+++ b/crates/gateway/src/services.rs
@@ -1,4 +1,4 @@
-//! Plain services behind the gateway.
+//! Forwarding of requests to plain HTTP services.
 
 use axum::body::Body;
 use axum::extract::{Request, State};
@@ -11,38 +11,36 @@
 use crate::dispatcher::ServiceHeader;
 use crate::error::ProblemResponse;
 use crate::headers::{CALL, REPLAYED, idempotency_key};
-use crate::router::{Gateway, new_call};
+use crate::router::{GatewayState, new_call_id};
 use crate::{ServiceAnswer, ServiceBody, ServiceCall};
 
-/// Beginning of the paths of services.
 const PATH_PREFIX: &str = "/services/";
-/// Request headers that are passed on.
-const PASSED_HEADERS: [&str; 2] = ["content-type", "accept"];
+const FORWARDED_HEADERS: [&str; 2] = ["content-type", "accept"];
 
-/// Any method on `/services/{name}/…`.
-pub(crate) async fn forward(State(gateway): State<Gateway>, request: Request) -> Response {
-    let call = new_call();
+/// Any method on `/services/{service}` and the paths below it.
+pub(crate) async fn forward(State(gateway): State<GatewayState>, request: Request) -> Response {
+    let call = new_call_id();
     match try_forward(gateway, call, request).await {
         Ok(response) => response,
         Err(problem) => ProblemResponse::of_call(problem, call).into_response(),
     }
 }
 
-async fn try_forward(gateway: Gateway, call: CallId, request: Request) -> Result<Response, Problem> {
+async fn try_forward(gateway: GatewayState, call: CallId, request: Request) -> Result<Response, Problem> {
     gateway.dispatcher.check_ready()?;
     let (head, body) = request.into_parts();
     let caller = authenticate(gateway.dispatcher.as_ref(), &head.headers)?;
-    let path_and_query = head.uri.path_and_query().map_or("", |whole| whole.as_str());
+    let path_and_query = head.uri.path_and_query().map_or("", |path_and_query| path_and_query.as_str());
     let (service, path) = split_path(path_and_query)?;
     if !caller.bundle.services.contains_key(&service) {
-        return Err(Problem::not_run(ResultCode::NotFound, format!("there is no service {service}")));
+        return Err(Problem::not_run(ResultCode::NotFound, format!("unknown service {service}")));
     }
     if !caller.tenant.services.contains(&service) {
-        let detail = format!("the tenant may not use service {service}");
+        let detail = format!("the tenant is not allowed to use service {service}");
         return Err(Problem::not_run(ResultCode::Forbidden, detail));
     }
     let key = idempotency_key(&head.headers)?;
-    let counted = gateway.limits.enter(&caller.tenant)?;
+    let permit = gateway.limits.acquire(&caller.tenant)?;
     let service_call = ServiceCall {
         call,
         tenant: caller.tenant.name,
@@ -50,11 +48,11 @@
         key,
         method: head.method.to_string(),
         path,
-        headers: passed_headers(&head.headers),
+        headers: forwarded_headers(&head.headers),
         body: gateway.read_body(body).await?,
     };
     let answer = gateway.dispatcher.clone().service(service_call).await?;
-    let mut response = to_response(answer, counted);
+    let mut response = to_response(answer, permit);
     if let Ok(value) = HeaderValue::from_str(&call.to_string()) {
         response.headers_mut().insert(CALL, value);
     }
@@ -62,32 +60,32 @@
 }
 
 fn split_path(path_and_query: &str) -> Result<(ServiceName, String), Problem> {
-    let rest = path_and_query.strip_prefix(PATH_PREFIX).unwrap_or_default();
-    let end = rest.find(['/', '?']).unwrap_or(rest.len());
-    let (name, path) = rest.split_at(end);
+    let service_and_path = path_and_query.strip_prefix(PATH_PREFIX).unwrap_or_default();
+    let end = service_and_path.find(['/', '?']).unwrap_or(service_and_path.len());
+    let (name, path) = service_and_path.split_at(end);
     let service = ServiceName::new(name)
-        .map_err(|error| Problem::not_run(ResultCode::NotFound, format!("service name: {error}")))?;
+        .map_err(|error| Problem::not_run(ResultCode::NotFound, format!("invalid service name: {error}")))?;
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
     Ok((service, path))
 }
 
-fn passed_headers(headers: &HeaderMap) -> Vec<ServiceHeader> {
-    let mut passed = Vec::new();
-    for name in PASSED_HEADERS {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<ServiceHeader> {
+    let mut forwarded = Vec::new();
+    for name in FORWARDED_HEADERS {
         if let Some(value) = headers.get(name).and_then(|value| value.to_str().ok()) {
-            passed.push(ServiceHeader { name, value: value.to_owned() });
+            forwarded.push(ServiceHeader { name, value: value.to_owned() });
         }
     }
-    passed
+    forwarded
 }
 
-fn to_response(answer: ServiceAnswer, counted: crate::limits::CountedCall) -> Response {
+fn to_response(answer: ServiceAnswer, permit: crate::limits::CallPermit) -> Response {
     let body = match answer.body {
         ServiceBody::Whole(bytes) => Body::from(bytes),
-        ServiceBody::Pieces(pieces) => {
-            Body::from_stream(stream::unfold((pieces, counted), |(mut pieces, counted)| async move {
-                let piece = pieces.recv().await?;
-                Some((piece, (pieces, counted)))
+        ServiceBody::Pieces(chunks) => {
+            Body::from_stream(stream::unfold((chunks, permit), |(mut chunks, permit)| async move {
+                let chunk = chunks.recv().await?;
+                Some((chunk, (chunks, permit)))
             }))
         }
     };
--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input at the callers' face: a numbered code, a problem body, a true `ran`, and nothing dispatched.
+//! Invalid requests are answered with a problem body and the expected result code, and are never dispatched.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,13 +21,13 @@
 
 const KEY: &str = "example-key";
 
-/// Answers every turn with one word and counts how many it got.
-struct OneWord {
+/// Answers every turn with one word and counts the calls that it receives.
+struct OneWordDispatcher {
     bundle: Arc<Bundle>,
     dispatched: AtomicUsize,
 }
 
-impl Dispatcher for OneWord {
+impl Dispatcher for OneWordDispatcher {
     fn configuration(&self) -> Option<Arc<Bundle>> {
         Some(Arc::clone(&self.bundle))
     }
@@ -45,7 +45,7 @@
             for item in
                 [ChatItem::Deltas(vec![delta]), ChatItem::Message(ChatMessage::assistant("word")), end]
             {
-                sender.send(item).await.expect("the queue has room");
+                sender.send(item).await.expect("the channel has capacity");
             }
             let head = ChatHead { program: call.program, turn: TurnNumber(0), is_replay: false };
             Ok(ChatStream { head, items })
@@ -66,53 +66,53 @@
     }
 }
 
-struct Face {
-    dispatcher: Arc<OneWord>,
+struct TestGateway {
+    dispatcher: Arc<OneWordDispatcher>,
     router: Router,
 }
 
-fn face() -> Face {
+fn test_gateway() -> TestGateway {
     let text = include_str!("../../../examples/bundle.toml");
     let bundle = Arc::new(Bundle::parse("bundle.toml", text).expect("the example is valid"));
-    let dispatcher = Arc::new(OneWord { bundle, dispatched: AtomicUsize::new(0) });
+    let dispatcher = Arc::new(OneWordDispatcher { bundle, dispatched: AtomicUsize::new(0) });
     let settings = GatewaySettings { body_bytes: 2000, body_timeout: Duration::from_secs(5) };
     let router = router(dispatcher.clone(), TenantLimits::default(), settings);
-    Face { dispatcher, router }
+    TestGateway { dispatcher, router }
 }
 
-fn chat(body: &str) -> axum::http::request::Builder {
+fn chat_request(body: &str) -> axum::http::request::Builder {
     let _ = body;
     Request::post("/v1/chat/completions").header("authorization", format!("Bearer {KEY}"))
 }
 
-struct Refused {
+struct Rejection {
     status: StatusCode,
     problem: Value,
     has_call: bool,
 }
 
-async fn refused(face: &Face, request: Request<Body>) -> Refused {
-    let response = face.router.clone().oneshot(request).await.expect("the router answers");
+async fn send_rejected(gateway: &TestGateway, request: Request<Body>) -> Rejection {
+    let response = gateway.router.clone().oneshot(request).await.expect("the router answers");
     let content_type = response.headers().get("content-type").cloned().expect("a content type");
     assert_eq!(content_type, "application/problem+json");
     let (status, has_call) = (response.status(), response.headers().contains_key("sumacdrift-call"));
     let bytes = response.into_body().collect().await.expect("a body").to_bytes();
-    Refused { status, problem: serde_json::from_slice(&bytes).expect("JSON"), has_call }
+    Rejection { status, problem: serde_json::from_slice(&bytes).expect("JSON"), has_call }
 }
 
-async fn assert_refused(request: Request<Body>, code: ResultCode) {
-    let face = face();
-    let refused = refused(&face, request).await;
-    assert_eq!(refused.problem["code"], code.number(), "{}", refused.problem);
-    assert_eq!(refused.status.as_u16(), code.http_status());
-    assert_eq!(refused.problem["ran"], "no");
-    assert_eq!(face.dispatcher.dispatched.load(Ordering::Relaxed), 0, "nothing may be dispatched");
+async fn assert_rejected(request: Request<Body>, code: ResultCode) {
+    let gateway = test_gateway();
+    let rejection = send_rejected(&gateway, request).await;
+    assert_eq!(rejection.problem["code"], code.number(), "{}", rejection.problem);
+    assert_eq!(rejection.status.as_u16(), code.http_status());
+    assert_eq!(rejection.problem["ran"], "no");
+    assert_eq!(gateway.dispatcher.dispatched.load(Ordering::Relaxed), 0, "nothing may be dispatched");
 }
 
-const GOOD: &str = r#"{"model":"emulated-8b","messages":[{"role":"user","content":"hello"}]}"#;
+const VALID_BODY: &str = r#"{"model":"emulated-8b","messages":[{"role":"user","content":"hello"}]}"#;
 
 #[tokio::test]
-async fn malformed_bodies_are_refused() {
+async fn malformed_bodies_are_rejected() {
     let bodies = [
         "",
         "{",
@@ -129,44 +129,48 @@
         "{\"model\":\"two words\",\"messages\":[{\"role\":\"user\"}]}",
     ];
     for body in bodies {
-        let request = chat(body).body(Body::from(body.to_owned())).expect("a request");
-        assert_refused(request, ResultCode::MalformedBody).await;
+        let request = chat_request(body).body(Body::from(body.to_owned())).expect("a request");
+        assert_rejected(request, ResultCode::MalformedBody).await;
     }
 }
 
 #[tokio::test]
-async fn several_answers_to_one_turn_are_refused() {
+async fn multiple_choices_are_rejected() {
     let body = r#"{"model":"emulated-8b","messages":[{"role":"user"}],"n":2}"#;
-    let request = chat(body).body(Body::from(body)).expect("a request");
-    assert_refused(request, ResultCode::UnsupportedParameter).await;
+    let request = chat_request(body).body(Body::from(body)).expect("a request");
+    assert_rejected(request, ResultCode::UnsupportedParameter).await;
 }
 
 #[tokio::test]
-async fn a_body_over_the_limit_is_refused() {
+async fn an_oversized_body_is_rejected() {
     let body = format!("{{\"model\":\"emulated-8b\",\"messages\":[],\"x\":\"{}\"}}", "a".repeat(3000));
-    let request = chat(&body).body(Body::from(body.clone())).expect("a request");
-    assert_refused(request, ResultCode::BodyTooLarge).await;
+    let request = chat_request(&body).body(Body::from(body.clone())).expect("a request");
+    assert_rejected(request, ResultCode::BodyTooLarge).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_that_never_ends_is_refused_in_time() {
-    let endless = futures::stream::pending::<Result<bytes::Bytes, std::io::Error>>();
-    let request = chat("").body(Body::from_stream(endless)).expect("a request");
-    assert_refused(request, ResultCode::RequestTooSlow).await;
+async fn a_stalled_body_is_rejected_after_the_timeout() {
+    let stalled_body = futures::stream::pending::<Result<bytes::Bytes, std::io::Error>>();
+    let request = chat_request("").body(Body::from_stream(stalled_body)).expect("a request");
+    assert_rejected(request, ResultCode::RequestTooSlow).await;
 }
 
 #[tokio::test]
-async fn unknown_keys_are_refused() {
+async fn invalid_api_keys_are_rejected() {
     for authorization in ["", "Bearer wrong", "Basic example-key", "example-key"] {
         let request = Request::post("/v1/chat/completions").header("authorization", authorization);
-        assert_refused(request.body(Body::from(GOOD)).expect("a request"), ResultCode::Unauthenticated).await;
+        assert_rejected(
+            request.body(Body::from(VALID_BODY)).expect("a request"),
+            ResultCode::Unauthenticated,
+        )
+        .await;
     }
-    let request = Request::post("/v1/chat/completions").body(Body::from(GOOD)).expect("a request");
-    assert_refused(request, ResultCode::Unauthenticated).await;
+    let request = Request::post("/v1/chat/completions").body(Body::from(VALID_BODY)).expect("a request");
+    assert_rejected(request, ResultCode::Unauthenticated).await;
 }
 
 #[tokio::test]
-async fn malformed_headers_are_refused() {
+async fn malformed_headers_are_rejected() {
     let long = "x".repeat(200);
     let cases: Vec<Vec<(&str, &str)>> = vec![
         vec![("sumacdrift-program", "")],
@@ -186,38 +190,38 @@
         vec![("idempotency-key", "two words")],
     ];
     for headers in cases {
-        let mut request = chat(GOOD);
+        let mut request = chat_request(VALID_BODY);
         for (name, value) in &headers {
             request = request.header(*name, *value);
         }
-        let request = request.body(Body::from(GOOD)).expect("a request");
-        assert_refused(request, ResultCode::InvalidHeader).await;
+        let request = request.body(Body::from(VALID_BODY)).expect("a request");
+        assert_rejected(request, ResultCode::InvalidHeader).await;
     }
 }
 
 #[tokio::test]
-async fn unknown_paths_and_methods_are_refused() {
+async fn unknown_paths_and_methods_are_rejected() {
     let request = Request::get("/nowhere").body(Body::empty()).expect("a request");
-    assert_refused(request, ResultCode::NotFound).await;
+    assert_rejected(request, ResultCode::NotFound).await;
     let request = Request::put("/v1/chat/completions").body(Body::empty()).expect("a request");
-    assert_refused(request, ResultCode::MethodNotAllowed).await;
+    assert_rejected(request, ResultCode::MethodNotAllowed).await;
     let authorization = format!("Bearer {KEY}");
     let request = Request::get("/services/nothing/x").header("authorization", &authorization);
-    assert_refused(request.body(Body::empty()).expect("a request"), ResultCode::NotFound).await;
+    assert_rejected(request.body(Body::empty()).expect("a request"), ResultCode::NotFound).await;
 }
 
 #[tokio::test]
-async fn refusals_name_the_call() {
-    let face = face();
-    let request = chat("{").body(Body::from("{")).expect("a request");
-    assert!(refused(&face, request).await.has_call);
+async fn rejections_carry_the_call_id() {
+    let gateway = test_gateway();
+    let request = chat_request("{").body(Body::from("{")).expect("a request");
+    assert!(send_rejected(&gateway, request).await.has_call);
 }
 
 #[tokio::test]
-async fn a_whole_answer_has_the_published_form() {
-    let face = face();
-    let request = chat(GOOD).body(Body::from(GOOD)).expect("a request");
-    let response = face.router.clone().oneshot(request).await.expect("the router answers");
+async fn a_complete_answer_is_a_chat_completion() {
+    let gateway = test_gateway();
+    let request = chat_request(VALID_BODY).body(Body::from(VALID_BODY)).expect("a request");
+    let response = gateway.router.clone().oneshot(request).await.expect("the router answers");
     assert_eq!(response.status(), StatusCode::OK);
     let bytes = response.into_body().collect().await.expect("a body").to_bytes();
     let answer: Value = serde_json::from_slice(&bytes).expect("JSON");
@@ -227,12 +231,12 @@
 }
 
 #[tokio::test]
-async fn a_streamed_answer_ends_with_usage_and_done() {
-    let face = face();
+async fn a_streamed_answer_ends_with_usage_and_a_done_marker() {
+    let gateway = test_gateway();
     let body = r#"{"model":"emulated-8b","stream":true,"stream_options":{"include_usage":true},
         "messages":[{"role":"user","content":"hello"}]}"#;
-    let request = chat(body).body(Body::from(body)).expect("a request");
-    let response = face.router.clone().oneshot(request).await.expect("the router answers");
+    let request = chat_request(body).body(Body::from(body)).expect("a request");
+    let response = gateway.router.clone().oneshot(request).await.expect("the router answers");
     let bytes = response.into_body().collect().await.expect("a body").to_bytes();
     let text = String::from_utf8(bytes.to_vec()).expect("text");
     let events: Vec<&str> = text.split("\n\n").filter(|event| !event.is_empty()).collect();
--- a/crates/gateway/tests/half_open.rs
+++ b/crates/gateway/tests/half_open.rs
@@ -1,4 +1,4 @@
-//! A client that begins a request and never goes on.
+//! A client that stalls before its request headers are complete.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,20 +23,20 @@
 }
 
 #[tokio::test]
-async fn a_half_open_client_is_cut_off_and_others_are_served() {
+async fn a_half_open_connection_is_closed_while_others_are_served() {
     let stop = CancellationToken::new();
     let (address, server) = start(stop.clone()).await;
     let mut half_open = TcpStream::connect(address).await.expect("a connection");
     half_open.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n").await.expect("half a request");
-    let mut whole = TcpStream::connect(address).await.expect("a connection");
+    let mut other = TcpStream::connect(address).await.expect("a connection");
     let request = b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    whole.write_all(request).await.expect("a request");
+    other.write_all(request).await.expect("a request");
     let mut answer = String::new();
-    whole.read_to_string(&mut answer).await.expect("an answer");
+    other.read_to_string(&mut answer).await.expect("an answer");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let mut rest = Vec::new();
-    // The end of the stream comes when the time for headers is over.
-    let _ = half_open.read_to_end(&mut rest).await;
+    let mut remaining = Vec::new();
+    // The server closes the connection at the header timeout.
+    let _ = half_open.read_to_end(&mut remaining).await;
     stop.cancel();
-    assert!(server.await.expect("it ends"), "no connection may be left");
+    assert!(server.await.expect("the server task ends"), "all connections must be closed");
 }
