--- a/crates/config/src/api_key.rs
+++ b/crates/config/src/api_key.rs
@@ -1,4 +1,4 @@
-//! API keys, kept as hashes only.
+//! API keys, stored as hashes only.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,13 +7,13 @@
 
 const HASH_BYTES: usize = 32;
 
-/// SHA-256 of an API key. Keys are long random texts, so a plain hash is enough; a slow one, as for passwords,
-/// would only cost time on each call.
+/// SHA-256 of an API key. API keys are long random strings, so they don't need a slow password hash, which would
+/// delay each call.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ApiKeyHash([u8; HASH_BYTES]);
 
 impl ApiKeyHash {
-    /// Hashes a key as a caller sent it.
+    /// Hashes a key in the form in which callers send it.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
@@ -27,8 +27,8 @@
             return Err(());
         }
         let mut bytes = [0_u8; HASH_BYTES];
-        for (position, byte) in bytes.iter_mut().enumerate() {
-            let digits = &text[position * 2..position * 2 + 2];
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| ())?;
         }
         Ok(Self(bytes))
--- a/crates/config/src/bundle.rs
+++ b/crates/config/src/bundle.rs
@@ -1,4 +1,4 @@
-//! The configuration bundle in checked form.
+//! The validated configuration bundle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,146 +10,134 @@
     EngineName, Generation, ModelName, PoolName, PriorityName, ServiceName, TenantName, ZoneName,
 };
 
-use crate::document::{Mistakes, Report};
+use crate::document::{ErrorCollector, Mistakes};
 use crate::{ApiKeyHash, bundle_reader};
 
-/// What the fleet does: pools, services, tenants, priorities and budgets of one generation.
+/// One generation of the fleet's configuration.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct Bundle {
-    /// Version; strictly rising.
+    /// Strictly increasing from bundle to bundle.
     pub generation: Generation,
-    /// Pools of engines.
     pub pools: BTreeMap<PoolName, Pool>,
-    /// Plain HTTP services.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Tenants.
     pub tenants: BTreeMap<TenantName, Tenant>,
-    /// Priority classes.
     pub priorities: BTreeMap<PriorityName, Priority>,
-    /// Retries.
     pub retry: RetrySettings,
-    /// Part of a parent's remaining budget that a sub-agent receives, in percent.
+    /// Share of a parent program's remaining budget that a sub-agent receives.
     pub sub_agent_share_percent: u64,
-    /// The text that the bundle was read from.
+    /// TOML text that the bundle was parsed from.
     pub source: String,
 }
 
 /// Engines that serve the same models.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct Pool {
-    /// Its name.
     pub name: PoolName,
-    /// Models served.
     pub models: BTreeSet<ModelName>,
-    /// Engines.
     pub engines: Vec<Engine>,
-    /// Limits of each engine's queue.
+    /// Settings of each engine's queue.
     pub queue: QueueSettings,
-    /// Weights of latency and cache in placement.
+    /// Weights of latency and of cache costs in placement.
     pub weights: Weights,
-    /// Time for a whole call.
+    /// Time limit for a whole call.
     pub deadline: Duration,
-    /// Time for a call to its first token and between tokens, before the engine counts as hung.
+    /// Maximum time to the first token and between tokens; after it the engine is considered hung.
     pub stall_timeout: Duration,
 }
 
-/// One engine.
+/// An engine of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Engine {
-    /// Its name.
     pub name: EngineName,
-    /// Its address.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Whether it is being taken out of service.
+    /// Whether it is draining: it receives no new calls.
     pub is_leaving: bool,
 }
 
-/// Weights of a pool.
+/// Placement weights of a pool.
 pub type Weights = PlacementWeights;
 
 /// A plain HTTP service.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct Service {
-    /// Its name.
     pub name: ServiceName,
-    /// Where it runs.
     pub back_ends: Vec<ServiceBackEnd>,
-    /// Which of its calls may be repeated; the first match counts.
+    /// Rules on which calls may be retried; the first match applies.
     pub routes: Vec<ServiceRoute>,
-    /// Time for a whole call.
+    /// Time limit for a whole call.
     pub deadline: Duration,
 }
 
 /// One process of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct ServiceBackEnd {
-    /// Its address.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Whether it is being taken out of service.
+    /// Whether it is draining: it receives no new calls.
     pub is_leaving: bool,
 }
 
-/// Whether calls of a method and path may be repeated.
+/// Whether calls with a given method and path may be retried.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRoute {
-    /// HTTP method; `None` stands for all.
+    /// HTTP method; `None` matches all.
     pub method: Option<String>,
-    /// Beginning of the path after the service's name.
+    /// Prefix of the path after the service's name.
     pub path_prefix: String,
-    /// Whether the system may run the call again by itself.
+    /// Whether the system may retry the call on its own.
     pub is_repeatable: bool,
 }
 
-/// A tenant.
+/// A tenant's access rights and limits.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct Tenant {
-    /// Its name.
     pub name: TenantName,
-    /// Hashes of its API keys.
     pub keys: BTreeSet<ApiKeyHash>,
-    /// Its priority class.
     pub priority: PriorityName,
-    /// Pools that it may use.
+    /// Pools that the tenant is allowed to use.
     pub pools: BTreeSet<PoolName>,
-    /// Services that it may use.
+    /// Services that the tenant is allowed to use.
     pub services: BTreeSet<ServiceName>,
-    /// Calls that it may have under way on one node.
+    /// Maximum number of calls in flight on one node.
     pub max_calls_per_node: usize,
-    /// Limits of each of its programs.
+    /// Limits on each of the tenant's programs.
     pub budget: BudgetLimits,
 }
 
 /// A priority class.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Priority {
-    /// Its name.
     pub name: PriorityName,
-    /// Lower goes first.
+    /// Lower ranks are served first.
     pub rank: PriorityRank,
 }
 
-/// Retries by the system itself.
+/// Limits on automatic retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
-    /// Attempts for one call, the first included.
+    /// Maximum number of attempts for one call, including the first.
     pub max_attempts: u32,
-    /// Retries allowed for each first attempt.
+    /// Retries allowed per first attempt.
     pub ratio: f64,
-    /// Retries a second allowed whatever the traffic.
+    /// Retries per second that are allowed regardless of traffic.
     pub minimum_per_second: f64,
 }
 
 impl Bundle {
-    /// Reads and checks a bundle; `file` names it in mistakes.
+    /// Parses and validates a bundle; `file` is its name in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
-        Report::new(file, text).read(|root| bundle_reader::read(root, text))
+        ErrorCollector::new(file, text).read(|root| bundle_reader::read(root, text))
     }
 
-    /// The pool that serves a model for a tenant: the first by name that the tenant may use.
+    /// Finds the pool that serves a model for a tenant: the first by name that the tenant is allowed to use.
     pub fn pool_for(&self, tenant: &Tenant, model: &ModelName) -> PoolLookup<'_> {
         let mut serving = self.pools.values().filter(|pool| pool.models.contains(model)).peekable();
         if serving.peek().is_none() {
@@ -161,35 +149,36 @@
         }
     }
 
-    /// The tenant that has an API key.
+    /// Finds the tenant that owns an API key.
     pub fn tenant_of_key(&self, key: &ApiKeyHash) -> Option<&Tenant> {
         self.tenants.values().find(|tenant| tenant.keys.contains(key))
     }
 
-    /// The rank of a tenant's priority class.
+    /// The rank of a tenant's priority class; the lowest priority if the class is unknown.
     pub fn rank_of(&self, tenant: &Tenant) -> PriorityRank {
         self.priorities.get(&tenant.priority).map_or(PriorityRank::MAX, |priority| priority.rank)
     }
 
-    /// All engines with their pools.
+    /// All engines, each with its pool.
     pub fn engines(&self) -> impl Iterator<Item = (&Pool, &Engine)> {
         self.pools.values().flat_map(|pool| pool.engines.iter().map(move |engine| (pool, engine)))
     }
 }
 
-/// The result of looking for a model's pool.
+/// Result of [`Bundle::pool_for`].
 #[derive(Debug)]
 pub enum PoolLookup<'a> {
-    /// The pool.
+    /// The pool that serves the model for the tenant.
     Found(&'a Pool),
     /// No pool serves the model.
     UnknownModel,
-    /// A pool serves it, but not for this tenant.
+    /// Only pools that the tenant is not allowed to use serve the model.
     Forbidden,
 }
 
 impl Service {
-    /// Whether the system may run a call again by itself. Without a matching route only safe methods may be.
+    /// Whether a call may be retried automatically. Calls that match no route may be retried only if their method is
+    /// GET or HEAD.
     pub fn is_repeatable(&self, method: &str, path: &str) -> bool {
         let matches = |route: &&ServiceRoute| {
             let method_matches = route.method.as_deref().is_none_or(|wanted| wanted == method);
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! Reading TOML with positions, collecting every mistake instead of stopping at the first.
+//! TOML reader that keeps positions and collects all errors instead of stopping at the first.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,61 +11,61 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// One mistake in a file.
+/// An error at one place in a configuration file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
-    /// The file, as it was named by whoever asked.
+pub struct ConfigError {
+    /// File name as given by the caller of the parser.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
     /// Path of the key, such as `pool[0].engine[2].address`.
     pub key: String,
-    /// What is wrong and what would be right.
+    /// What is wrong and what was expected.
     pub message: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConfigError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}:{}: {}: {}", self.file, self.line, self.key, self.message)
     }
 }
 
-/// All mistakes of a file.
+/// All errors of a configuration file, by line.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{}", .0.iter().map(Mistake::to_string).collect::<Vec<_>>().join("\n"))]
-pub struct Mistakes(pub Vec<Mistake>);
+#[error("{}", .0.iter().map(ConfigError::to_string).collect::<Vec<_>>().join("\n"))]
+pub struct Mistakes(pub Vec<ConfigError>);
 
-/// Where mistakes of one file are collected.
-pub(crate) struct Report<'a> {
+/// Collects the errors of one file.
+pub(crate) struct ErrorCollector<'a> {
     file: &'a str,
     text: &'a str,
-    mistakes: RefCell<Vec<Mistake>>,
+    errors: RefCell<Vec<ConfigError>>,
 }
 
-impl<'a> Report<'a> {
+impl<'a> ErrorCollector<'a> {
     pub(crate) fn new(file: &'a str, text: &'a str) -> Self {
-        Self { file, text, mistakes: RefCell::new(Vec::new()) }
+        Self { file, text, errors: RefCell::new(Vec::new()) }
     }
 
     pub(crate) fn add(&self, span: Range<usize>, key: &str, message: impl Into<String>) {
         let start = span.start.min(self.text.len());
         let line = self.text.as_bytes()[..start].iter().filter(|byte| **byte == b'\n').count() + 1;
-        let mistake =
-            Mistake { file: self.file.to_owned(), line, key: key.to_owned(), message: message.into() };
-        self.mistakes.borrow_mut().push(mistake);
+        let error =
+            ConfigError { file: self.file.to_owned(), line, key: key.to_owned(), message: message.into() };
+        self.errors.borrow_mut().push(error);
     }
 
-    /// The value, unless mistakes were found.
+    /// Returns the value, or the errors if there are any.
     pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, Mistakes> {
-        let mut mistakes = self.mistakes.into_inner();
-        mistakes.sort_by_key(|mistake| mistake.line);
+        let mut errors = self.errors.into_inner();
+        errors.sort_by_key(|error| error.line);
         match value {
-            Some(value) if mistakes.is_empty() => Ok(value),
-            _ => Err(Mistakes(mistakes)),
+            Some(value) if errors.is_empty() => Ok(value),
+            _ => Err(Mistakes(errors)),
         }
     }
 
-    /// Parses the text and hands its root table to `read`.
+    /// Parses the text and passes its root table to `read`.
     pub(crate) fn read<T>(self, read: impl FnOnce(&mut Table<'_>) -> T) -> Result<T, Mistakes> {
         match DeTable::parse(self.text) {
             Err(error) => {
@@ -82,35 +82,39 @@
     }
 }
 
-/// A table whose keys are asked for one by one; what was never asked for is unknown.
+/// A TOML table that records which keys are read; `finish` reports the others as unknown.
 pub(crate) struct Table<'a> {
     table: &'a DeTable<'a>,
     span: Range<usize>,
     path: String,
-    report: &'a Report<'a>,
-    known: BTreeSet<&'static str>,
+    collector: &'a ErrorCollector<'a>,
+    known_keys: BTreeSet<&'static str>,
 }
 
 impl<'a> Table<'a> {
-    fn new(table: &'a DeTable<'a>, span: Range<usize>, path: String, report: &'a Report<'a>) -> Self {
-        Self { table, span, path, report, known: BTreeSet::new() }
+    fn new(
+        table: &'a DeTable<'a>,
+        span: Range<usize>,
+        path: String,
+        collector: &'a ErrorCollector<'a>,
+    ) -> Self {
+        Self { table, span, path, collector, known_keys: BTreeSet::new() }
     }
 
-    /// Reports keys that nobody asked for.
     pub(crate) fn finish(self) {
         for key in self.table.keys() {
-            if !self.known.contains(key.get_ref().as_ref()) {
-                let known: Vec<&str> = self.known.iter().copied().collect();
-                let message = format!("unknown key; known here: {}", known.join(", "));
-                self.report.add(key.span(), &self.path_of(key.get_ref()), message);
+            if !self.known_keys.contains(key.get_ref().as_ref()) {
+                let expected: Vec<&str> = self.known_keys.iter().copied().collect();
+                let message = format!("unknown key; expected one of: {}", expected.join(", "));
+                self.collector.add(key.span(), &self.path_of(key.get_ref()), message);
             }
         }
     }
 
-    /// Reports a mistake at a key.
-    pub(crate) fn mistake(&self, key: &str, message: impl Into<String>) {
+    /// Reports an error at a key, or at the table if the key is missing.
+    pub(crate) fn report_error(&self, key: &str, message: impl Into<String>) {
         let span = self.table.get(key).map_or(self.span.clone(), Spanned::span);
-        self.report.add(span, &self.path_of(key), message);
+        self.collector.add(span, &self.path_of(key), message);
     }
 
     fn path_of(&self, key: &str) -> String {
@@ -118,64 +122,63 @@
     }
 
     fn get(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.known.insert(key);
+        self.known_keys.insert(key);
         self.table.get(key)
     }
 
-    /// Text that must be there; an empty text stands in where it is not.
-    pub(crate) fn text(&mut self, key: &'static str) -> String {
-        self.optional_text(key).unwrap_or_else(|| {
+    /// A required string; empty, with the error reported, if missing or of another type.
+    pub(crate) fn string(&mut self, key: &'static str) -> String {
+        self.optional_string(key).unwrap_or_else(|| {
             if self.table.get(key).is_none() {
-                self.mistake(key, "missing; a text is needed");
+                self.report_error(key, "missing; expected a string");
             }
             String::new()
         })
     }
 
-    /// Text that may be missing.
-    pub(crate) fn optional_text(&mut self, key: &'static str) -> Option<String> {
+    pub(crate) fn optional_string(&mut self, key: &'static str) -> Option<String> {
         let value = self.get(key)?.get_ref();
         let text = value.as_str().map(str::to_owned);
         if text.is_none() {
-            self.mistake(key, format!("a text is needed, not {}", value.type_str()));
+            self.report_error(key, format!("expected a string, found {}", value.type_str()));
         }
         text
     }
 
-    /// A text that a type can be read from; `None`, with the mistake reported, where it can't.
-    pub(crate) fn parsed<T: FromStr>(&mut self, key: &'static str, needed: &str) -> Option<T> {
-        let text = self.text(key);
+    /// A required string parsed as `T`; `None`, with the error reported, if that fails. `expected` describes `T`.
+    pub(crate) fn parsed<T: FromStr>(&mut self, key: &'static str, expected: &str) -> Option<T> {
+        let text = self.string(key);
         if text.is_empty() {
             return None;
         }
-        self.parse(key, &text, needed)
+        self.parse(key, &text, expected)
     }
 
-    /// Like `parsed`, for a key that may be missing.
-    pub(crate) fn optional_parsed<T: FromStr>(&mut self, key: &'static str, needed: &str) -> Option<T> {
-        let text = self.optional_text(key)?;
-        self.parse(key, &text, needed)
+    /// Like [`Table::parsed`], but a missing key is no error.
+    pub(crate) fn optional_parsed<T: FromStr>(&mut self, key: &'static str, expected: &str) -> Option<T> {
+        let text = self.optional_string(key)?;
+        self.parse(key, &text, expected)
     }
 
-    fn parse<T: FromStr>(&self, key: &str, text: &str, needed: &str) -> Option<T> {
+    fn parse<T: FromStr>(&self, key: &str, text: &str, expected: &str) -> Option<T> {
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.mistake(key, format!("{needed} is needed, not \"{text}\""));
+            self.report_error(key, format!("expected {expected}, found \"{text}\""));
         }
         parsed
     }
 
-    /// An IP address with port.
+    /// A required IP address with port.
     pub(crate) fn address(&mut self, key: &'static str) -> Option<SocketAddr> {
-        self.parsed(key, "an IP number with port, such as 127.0.0.1:8080,")
+        self.parsed(key, "an IP address with port, such as 127.0.0.1:8080")
     }
 
-    /// A name by the rules for names.
+    /// A required name; `None`, with the error reported, if it is missing or invalid.
     pub(crate) fn name<T: TryFrom<String>>(&mut self, key: &'static str) -> Option<T>
     where
         T::Error: fmt::Display,
     {
-        let text = self.text(key);
+        let text = self.string(key);
         if text.is_empty() {
             return None;
         }
@@ -189,61 +192,60 @@
         match T::try_from(text) {
             Ok(name) => Some(name),
             Err(error) => {
-                self.mistake(key, error.to_string());
+                self.report_error(key, error.to_string());
                 None
             }
         }
     }
 
-    /// A list of names; an empty one where the key is missing.
+    /// An array of names; empty if missing. Invalid names are reported and left out.
     pub(crate) fn names<T: TryFrom<String>>(&mut self, key: &'static str) -> Vec<T>
     where
         T::Error: fmt::Display,
     {
-        let texts = self.texts(key);
-        texts.into_iter().filter_map(|text| self.to_name(key, text)).collect()
+        let strings = self.strings(key);
+        strings.into_iter().filter_map(|text| self.to_name(key, text)).collect()
     }
 
-    /// A list of texts; an empty one where the key is missing.
-    pub(crate) fn texts(&mut self, key: &'static str) -> Vec<String> {
+    /// An array of strings; empty if missing. Other items are reported and left out.
+    pub(crate) fn strings(&mut self, key: &'static str) -> Vec<String> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
-            self.mistake(key, "a list of texts is needed");
+            self.report_error(key, "expected an array of strings");
             return Vec::new();
         };
-        let mut texts = Vec::new();
+        let mut strings = Vec::new();
         for item in items.iter() {
             match item.get_ref().as_str() {
-                Some(text) => texts.push(text.to_owned()),
-                None => self.report.add(item.span(), &self.path_of(key), "a text is needed"),
+                Some(text) => strings.push(text.to_owned()),
+                None => self.collector.add(item.span(), &self.path_of(key), "expected a string"),
             }
         }
-        texts
+        strings
     }
 
-    /// A list of whole numbers; an empty one where the key is missing.
+    /// An array of integers; empty if missing. Other items are reported and left out.
     pub(crate) fn integers(&mut self, key: &'static str, range: RangeInclusive<u64>) -> Vec<u64> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
-            self.mistake(key, "a list of whole numbers is needed");
+            self.report_error(key, "expected an array of integers");
             return Vec::new();
         };
         items.iter().filter_map(|item| self.to_integer(key, item, &range)).collect()
     }
 
-    /// A whole number that must be there.
+    /// A required integer; the start of the range, with the error reported, if missing or invalid.
     pub(crate) fn integer(&mut self, key: &'static str, range: RangeInclusive<u64>) -> u64 {
         let start = *range.start();
         match self.get(key) {
             Some(value) => self.to_integer(key, value, &range).unwrap_or(start),
             None => {
-                self.mistake(key, "missing; a whole number is needed");
+                self.report_error(key, "missing; expected an integer");
                 start
             }
         }
     }
 
-    /// A whole number that may be missing.
     pub(crate) fn integer_or(&mut self, key: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
         match self.get(key) {
             Some(value) => self.to_integer(key, value, &range).unwrap_or(default),
@@ -261,41 +263,40 @@
         let number = integer.and_then(|digits| u64::from_str_radix(digits.as_str(), digits.radix()).ok());
         let in_range = number.filter(|number| range.contains(number));
         if in_range.is_none() {
-            let message = format!("a whole number from {} to {} is needed", range.start(), range.end());
-            self.report.add(value.span(), &self.path_of(key), message);
+            let message = format!("expected an integer from {} to {}", range.start(), range.end());
+            self.collector.add(value.span(), &self.path_of(key), message);
         }
         in_range
     }
 
-    /// A number that may be missing.
-    pub(crate) fn number_or(&mut self, key: &'static str, range: RangeInclusive<f64>, default: f64) -> f64 {
+    /// A float or an integer; `default` if missing or invalid.
+    pub(crate) fn float_or(&mut self, key: &'static str, range: RangeInclusive<f64>, default: f64) -> f64 {
         let Some(value) = self.get(key) else { return default };
         let value = value.get_ref();
         let digits = value.as_float().map(|float| float.as_str().to_owned());
         let digits = digits.or_else(|| value.as_integer().map(|integer| integer.as_str().to_owned()));
         let number = digits.and_then(|digits| digits.parse::<f64>().ok());
         number.filter(|number| range.contains(number)).unwrap_or_else(|| {
-            self.mistake(key, format!("a number from {} to {} is needed", range.start(), range.end()));
+            self.report_error(key, format!("expected a number from {} to {}", range.start(), range.end()));
             default
         })
     }
 
-    /// A time in seconds that may be missing.
-    pub(crate) fn seconds_or(&mut self, key: &'static str, default: Duration) -> Duration {
-        let seconds = self.number_or(key, 0.001..=10_000_000.0, default.as_secs_f64());
+    /// A duration in seconds; `default` if missing or invalid.
+    pub(crate) fn duration_or(&mut self, key: &'static str, default: Duration) -> Duration {
+        let seconds = self.float_or(key, 0.001..=10_000_000.0, default.as_secs_f64());
         Duration::from_secs_f64(seconds)
     }
 
-    /// True or false; `default` where the key is missing.
-    pub(crate) fn flag_or(&mut self, key: &'static str, default: bool) -> bool {
+    pub(crate) fn bool_or(&mut self, key: &'static str, default: bool) -> bool {
         let Some(value) = self.get(key) else { return default };
         value.get_ref().as_bool().unwrap_or_else(|| {
-            self.mistake(key, "true or false is needed");
+            self.report_error(key, "expected a boolean");
             default
         })
     }
 
-    /// Hands a sub-table to `read`; a missing one is read as empty.
+    /// Passes a sub-table to `read`; a missing one is read as an empty table.
     pub(crate) fn table<T>(&mut self, key: &'static str, read: impl FnOnce(&mut Table<'_>) -> T) -> T {
         let empty = DeTable::new();
         let (table, span) = match self.get(key) {
@@ -303,18 +304,18 @@
             Some(value) => match value.get_ref().as_table() {
                 Some(table) => (table, value.span()),
                 None => {
-                    self.mistake(key, "a table is needed");
+                    self.report_error(key, "expected a table");
                     (&empty, value.span())
                 }
             },
         };
-        let mut table = Table::new(table, span, self.path_of(key), self.report);
+        let mut table = Table::new(table, span, self.path_of(key), self.collector);
         let value = read(&mut table);
         table.finish();
         value
     }
 
-    /// Hands each table of a list to `read`.
+    /// Passes each table of an array to `read` and keeps the values that it returns.
     pub(crate) fn tables<T>(
         &mut self,
         key: &'static str,
@@ -322,19 +323,19 @@
     ) -> Vec<T> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
-            self.mistake(key, "a list of tables is needed");
+            self.report_error(key, "expected an array of tables");
             return Vec::new();
         };
         let mut values = Vec::new();
-        for (position, item) in items.iter().enumerate() {
-            let path = format!("{}[{position}]", self.path_of(key));
+        for (index, item) in items.iter().enumerate() {
+            let path = format!("{}[{index}]", self.path_of(key));
             match item.get_ref().as_table() {
                 Some(table) => {
-                    let mut table = Table::new(table, item.span(), path, self.report);
+                    let mut table = Table::new(table, item.span(), path, self.collector);
                     values.extend(read(&mut table));
                     table.finish();
                 }
-                None => self.report.add(item.span(), &path, "a table is needed"),
+                None => self.collector.add(item.span(), &path, "expected a table"),
             }
         }
         values
--- a/crates/config/src/in_force.rs
+++ b/crates/config/src/in_force.rs
@@ -1,11 +1,11 @@
-//! What is in force: the highest generation that was ever offered.
+//! The configuration in force: the highest generation offered so far.
 
 use sumacdrift_mutants::{Rule, is_broken};
 use sumacdrift_types::Generation;
 
-/// Something with a generation.
+/// A value with a monotonically increasing generation.
+#[allow(missing_docs)]
 pub trait Versioned {
-    /// The generation.
     fn generation(&self) -> Generation;
 }
 
@@ -17,8 +17,8 @@
 
 /// Holds the configuration in force.
 ///
-/// A lower or equal generation is never put in force, whoever offers it: that keeps an accepted configuration
-/// from being reverted by a slow reader or a node that slept.
+/// Only a higher generation replaces the current one, so that a delayed peer or a stale read can't revert an accepted
+/// configuration.
 #[derive(Debug, Clone)]
 pub struct InForce<T> {
     current: Option<T>,
@@ -31,17 +31,17 @@
 }
 
 impl<T: Versioned> InForce<T> {
-    /// What is in force.
+    /// The configuration in force; `None` until one was offered.
     pub fn current(&self) -> Option<&T> {
         self.current.as_ref()
     }
 
-    /// The generation in force; 0 where there is none.
+    /// The generation in force; 0 if there is none.
     pub fn generation(&self) -> Generation {
         self.current().map_or(Generation(0), Versioned::generation)
     }
 
-    /// Puts an offer in force if it is newer. Returns whether it was.
+    /// Replaces the current configuration if the offered one is newer. Returns whether it was.
     pub fn offer(&mut self, offered: T) -> bool {
         if offered.generation() <= self.generation() && !is_broken(Rule::GenerationsOnlyRise) {
             return false;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The two kinds of file that the system reads: a node's settings and the fleet's configuration bundle.
+//! Parsing and validation of a node's settings file and of the fleet's configuration bundle.
 //!
-//! Settings say where and as what one process runs; they are read once. The bundle says what the fleet does;
-//! it has a generation that only rises. Both readers report every mistake at once, with file, line and key,
-//! and treat unknown keys as mistakes, since a mistyped key that is silently ignored is found only at night.
+//! Settings apply to one process and are read once, at its start. The bundle applies to the whole fleet and has a
+//! monotonically increasing generation. Both parsers report all errors at once, with file, line and key, and reject
+//! unknown keys, since a mistyped key would otherwise be ignored silently.
 
 mod api_key;
 mod bundle;
@@ -16,11 +16,11 @@
     Bundle, Engine, Pool, PoolLookup, Priority, RetrySettings, Service, ServiceBackEnd, ServiceRoute, Tenant,
     Weights,
 };
-pub use document::{Mistake, Mistakes};
+pub use document::{ConfigError, Mistakes};
 pub use in_force::{InForce, Versioned};
 pub use settings::{
     FleetSettings, LimitSettings, ListenSettings, LogLevel, PlatformSettings, Role, Settings,
 };
 
-/// Version of the bundle's schema that this program reads.
+/// The supported version of the bundle's schema.
 pub const BUNDLE_SCHEMA: u64 = 1;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one node.
+//! A node's settings file.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,16 +7,16 @@
 
 use sumacdrift_types::{NodeId, RegionName, ZoneName};
 
-use crate::document::{Mistakes, Report, Table};
+use crate::document::{ErrorCollector, Mistakes, Table};
 
-/// What a node does.
+/// A function that a node performs in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Serves callers' requests.
     Gateway,
     /// Holds replicas of program shards.
     Programs,
-    /// Owns engines.
+    /// Owns engines and their queues.
     Engines,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// Least severity that is logged.
+/// Minimum severity of logged messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Only what needs a person.
+    /// Failures that need an operator.
     Error,
-    /// And what may come to need one.
+    /// Conditions that may come to need an operator.
     Warning,
-    /// And every decision that an operator would ask about.
+    /// Decisions that explain the node's behaviour to an operator.
     Info,
-    /// And details for developers.
+    /// Details for developers.
     Debug,
 }
 
@@ -60,94 +60,88 @@
     }
 }
 
-/// Everything that one process is told at its start.
+/// Settings of one process, read at its start.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct Settings {
-    /// The node's number; unique in the fleet.
+    /// Unique in the fleet.
     pub id: NodeId,
-    /// Its region.
     pub region: RegionName,
-    /// Its zone.
     pub zone: ZoneName,
-    /// What it does.
+    /// All roles, if the file names none.
     pub roles: BTreeSet<Role>,
-    /// Addresses that it listens on.
     pub listen: ListenSettings,
-    /// The rest of the fleet.
     pub fleet: FleetSettings,
-    /// The platform.
     pub platform: PlatformSettings,
-    /// Limits on callers and on stopping.
     pub limits: LimitSettings,
-    /// Least severity that is logged.
     pub log_level: LogLevel,
 }
 
 /// Addresses that a node listens on.
 #[derive(Debug, Clone)]
 pub struct ListenSettings {
-    /// For callers.
+    /// HTTP front end for callers.
     pub callers: SocketAddr,
-    /// For other nodes.
+    /// Traffic between nodes.
     pub peers: SocketAddr,
-    /// For operators: health, metrics and status.
+    /// Health, metrics and status for operators.
     pub admin: SocketAddr,
 }
 
-/// How a node finds the fleet.
+/// Discovery and bootstrap of the fleet, and retention of its programs.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
-    /// Peer addresses to ask first.
+    /// Peer addresses used for the first contact.
     pub seeds: Vec<SocketAddr>,
-    /// Nodes that must all be present when the fleet is founded for the first time.
+    /// Nodes that must all be present to bootstrap a new fleet.
     pub founders: BTreeSet<NodeId>,
-    /// Number of program shards; fixed when the fleet is founded.
+    /// Number of program shards; fixed when the fleet is bootstrapped.
     pub shards: u32,
-    /// Replicas of each shard.
+    /// Replicas per shard.
     pub replicas: usize,
-    /// A program without a call for this long is ended.
+    /// A program that makes no call for this long is ended.
     pub idle_lease: Duration,
-    /// Recorded answers of ended programs are kept this long.
+    /// How long recorded answers of ended programs are kept.
     pub retention: Duration,
-    /// How often engines are asked for whom they hold memory.
+    /// Interval between checks for engine memory that is held for programs that no longer exist.
     pub memory_check: Duration,
 }
 
-/// The platform's services.
+/// Sources of the configuration bundle.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformSettings {
-    /// Address of the object API; without it the bundle file is all there is.
+    /// Address of the platform's object API; if `None`, the bundle file is the only source.
     pub object_api: Option<SocketAddr>,
-    /// A bundle to begin with.
+    /// Path of the bundle that is loaded at start.
     pub bundle_file: Option<String>,
 }
 
-/// Limits on callers and on stopping.
+/// Limits on callers' requests and on shutdown.
 #[derive(Debug, Clone)]
 pub struct LimitSettings {
     /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's headers.
+    /// Time limit for receiving a request's headers.
     pub header_timeout: Duration,
-    /// Time for a request's body.
+    /// Time limit for receiving a request's body.
     pub body_timeout: Duration,
-    /// How long a turn may wait for the one before it.
+    /// How long a turn may wait for its predecessor.
     pub turn_wait: Duration,
-    /// How long a planned stop waits for streams.
+    /// How long a graceful shutdown waits for streams in flight.
     pub drain_timeout: Duration,
-    /// Connections from callers at a time.
+    /// Maximum number of concurrent connections from callers.
     pub connections: usize,
 }
 
 impl Settings {
-    /// Reads and checks a settings file; `file` names it in mistakes.
+    /// Parses and validates a settings file; `file` is its name in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
-        let settings = Report::new(file, text).read(read)?;
-        // Without mistakes every required value is there.
+        let settings = ErrorCollector::new(file, text).read(read)?;
+        // Without errors, all required values are present.
         settings.ok_or_else(|| Mistakes(Vec::new()))
     }
 
-    /// Whether the node has a role.
+    /// Whether the node performs a role.
     pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
@@ -175,19 +169,22 @@
     })
 }
 
-type NodeTable = (NodeId, RegionName, ZoneName, BTreeSet<Role>);
+type NodeIdentity = (NodeId, RegionName, ZoneName, BTreeSet<Role>);
 
-fn read_node(table: &mut Table<'_>) -> Option<NodeTable> {
+fn read_node(table: &mut Table<'_>) -> Option<NodeIdentity> {
     let id = NodeId(table.integer("id", 1..=u64::from(u32::MAX)) as u32);
     let region = table.name("region");
     let zone = table.name("zone");
     let mut roles = BTreeSet::new();
-    for text in table.texts("roles") {
+    for text in table.strings("roles") {
         match text.parse() {
             Ok(role) => {
                 roles.insert(role);
             }
-            Err(()) => table.mistake("roles", format!("\"{text}\" is none of gateway, programs, engines")),
+            Err(()) => table.report_error(
+                "roles",
+                format!("unknown role \"{text}\"; expected gateway, programs or engines"),
+            ),
         }
     }
     if roles.is_empty() {
@@ -205,32 +202,32 @@
 
 fn read_fleet(table: &mut Table<'_>) -> FleetSettings {
     let mut seeds = Vec::new();
-    for text in table.texts("seeds") {
+    for text in table.strings("seeds") {
         match text.parse() {
             Ok(address) => seeds.push(address),
-            Err(_) => table.mistake("seeds", format!("\"{text}\" is not an IP number with port")),
+            Err(_) => table.report_error("seeds", format!("\"{text}\" is not an IP address with port")),
         }
     }
     let founders = table.integers("founders", 1..=u64::from(u32::MAX));
     if founders.is_empty() {
-        table.mistake("founders", "at least one founding node is needed");
+        table.report_error("founders", "expected at least one founding node");
     }
     FleetSettings {
         seeds,
         founders: founders.into_iter().map(|id| NodeId(id as u32)).collect(),
         shards: table.integer_or("shards", 1..=4096, 16) as u32,
         replicas: table.integer_or("replicas", 1..=7, 3) as usize,
-        idle_lease: table.seconds_or("idle_lease_seconds", Duration::from_secs(3600)),
-        retention: table.seconds_or("retention_seconds", Duration::from_secs(900)),
-        memory_check: table.seconds_or("memory_check_seconds", Duration::from_secs(30)),
+        idle_lease: table.duration_or("idle_lease_seconds", Duration::from_secs(3600)),
+        retention: table.duration_or("retention_seconds", Duration::from_secs(900)),
+        memory_check: table.duration_or("memory_check_seconds", Duration::from_secs(30)),
     }
 }
 
 fn read_platform(table: &mut Table<'_>) -> PlatformSettings {
-    let object_api = table.optional_parsed("object_api", "an IP number with port");
-    let bundle_file = table.optional_text("bundle_file");
+    let object_api = table.optional_parsed("object_api", "an IP address with port");
+    let bundle_file = table.optional_string("bundle_file");
     if object_api.is_none() && bundle_file.is_none() {
-        table.mistake("bundle_file", "object_api or bundle_file is needed");
+        table.report_error("bundle_file", "object_api or bundle_file is required");
     }
     PlatformSettings { object_api, bundle_file }
 }
@@ -238,10 +235,10 @@
 fn read_limits(table: &mut Table<'_>) -> LimitSettings {
     LimitSettings {
         body_bytes: table.integer_or("body_bytes", 1..=1 << 30, 8 << 20) as usize,
-        header_timeout: table.seconds_or("header_seconds", Duration::from_secs(10)),
-        body_timeout: table.seconds_or("body_seconds", Duration::from_secs(30)),
-        turn_wait: table.seconds_or("turn_wait_seconds", Duration::from_secs(30)),
-        drain_timeout: table.seconds_or("drain_seconds", Duration::from_secs(120)),
+        header_timeout: table.duration_or("header_seconds", Duration::from_secs(10)),
+        body_timeout: table.duration_or("body_seconds", Duration::from_secs(30)),
+        turn_wait: table.duration_or("turn_wait_seconds", Duration::from_secs(30)),
+        drain_timeout: table.duration_or("drain_seconds", Duration::from_secs(120)),
         connections: table.integer_or("connections", 1..=1_000_000, 10_000) as usize,
     }
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Settings and bundles: the examples are valid, and every mistake is reported at once.
+//! Parsing of settings and bundles: the examples are valid, and all errors are reported at once.
 
 use sumacdrift_config::{ApiKeyHash, Bundle, Settings};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_example_bundle_is_valid_and_knows_its_key() {
+fn the_example_bundle_is_valid_and_resolves_its_api_key() {
     let bundle = Bundle::parse("bundle.toml", BUNDLE).expect("a valid bundle");
     let tenant = bundle.tenant_of_key(&ApiKeyHash::of("example-key")).expect("the key's tenant");
     assert_eq!(tenant.name.as_str(), "build-farm");
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn all_mistakes_of_settings_are_reported_at_once() {
+fn all_errors_in_settings_are_reported_at_once() {
     let text = "[node]\nid = 0\nregion = \"two words\"\nroles = [\"cook\"]\ncolour = \"red\"\n\
                 [listen]\ncallers = \"localhost:80\"\npeers = \"127.0.0.1:1\"\n\
                 [fleet]\nshards = \"many\"\n[log]\nlevel = \"loud\"\n";
-    let mistakes = Settings::parse("node.toml", text).expect_err("mistakes");
-    insta::assert_snapshot!(mistakes.to_string());
+    let errors = Settings::parse("node.toml", text).expect_err("errors");
+    insta::assert_snapshot!(errors.to_string());
 }
 
 #[test]
-fn all_mistakes_of_a_bundle_are_reported_at_once() {
+fn all_errors_in_a_bundle_are_reported_at_once() {
     let text = "schema = 9\ngeneration = 0\n[[pool]]\nname = \"a\"\nmodels = []\nspeed = 3\n\
                 [[pool.engine]]\nname = \"e\"\naddress = \"engine.local:1\"\nzone = \"z\"\n\
                 [[pool.engine]]\nname = \"f\"\naddress = \"127.0.0.1:1\"\nzone = \"z\"\n\
@@ -42,21 +42,21 @@
                 [[pool.engine]]\nname = \"f\"\naddress = \"127.0.0.1:2\"\nzone = \"z\"\n\
                 [[tenant]]\nname = \"t\"\nkey_sha256 = [\"my-secret-key\"]\npriority = \"none\"\n\
                 pools = [\"c\"]\n";
-    let mistakes = Bundle::parse("bundle.toml", text).expect_err("mistakes").to_string();
-    assert!(!mistakes.contains("my-secret-key"), "a key must not be repeated in a message");
-    insta::assert_snapshot!(mistakes);
+    let errors = Bundle::parse("bundle.toml", text).expect_err("errors").to_string();
+    assert!(!errors.contains("my-secret-key"), "a message must not contain the key");
+    insta::assert_snapshot!(errors);
 }
 
 #[test]
-fn a_syntax_error_has_its_line() {
-    let mistakes = Settings::parse("node.toml", "[node]\nid = = 3\n").expect_err("a mistake");
-    assert_eq!(mistakes.0.len(), 1);
-    assert_eq!(mistakes.0[0].line, 2);
+fn a_syntax_error_is_reported_with_its_line() {
+    let errors = Settings::parse("node.toml", "[node]\nid = = 3\n").expect_err("an error");
+    assert_eq!(errors.0.len(), 1);
+    assert_eq!(errors.0[0].line, 2);
 }
 
-/// Simulation seed 5859: slots of calls whose release was lost stayed taken for ten minutes, whatever the calls' time.
+/// Guards against slots that stay occupied long after the deadline when a call's release is lost.
 #[test]
-fn a_grant_that_is_never_released_is_taken_back_after_the_pools_deadline() {
+fn an_unreleased_grant_expires_soon_after_the_pools_deadline() {
     let bundle = Bundle::parse("bundle.toml", BUNDLE).expect("a valid bundle");
     for pool in bundle.pools.values() {
         let slack = pool.queue.grant_lease.checked_sub(pool.deadline).expect("a lease beyond the deadline");
