--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's object API as the system calls it.
+//! Client of the platform's object API.
 //!
-//! Nothing that serves calls waits for the platform: it is asked in the background, by few nodes, with pauses
-//! that grow while it is in trouble.
+//! Serving calls never waits for the platform: a few nodes poll it in the background and back off while it is
+//! unavailable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,51 +12,49 @@
 use serde::Deserialize;
 use sumacdrift_http_client::{HttpClient, HttpError};
 
-/// Name of the object that holds the configuration bundle.
+/// Name of the object that holds the configuration bundle's TOML text.
 pub const BUNDLE_OBJECT: &str = "sumacdrift-bundle";
 
-/// Time for a plain request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for a watch, somewhat longer than the platform holds it.
+/// Longer than the platform holds a watch open.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
-/// Largest object.
 const MAX_OBJECT_BYTES: usize = 16 << 20;
 
-/// A request to the platform failed.
+/// Failure of a request to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// The platform is down, slow or refuses more readers; a write may have taken effect all the same.
-    #[error("the platform is in trouble: {0}")]
-    Trouble(String),
-    /// There is no such object.
-    #[error("no such object")]
+    /// The platform can't be reached, timed out or rejected the request; a write may still have taken effect.
+    #[error("the platform is unavailable: {0}")]
+    Unavailable(String),
+    /// The object does not exist.
+    #[error("the object does not exist")]
     NotFound,
-    /// Somebody else wrote first; the object's version is given.
-    #[error("the object was changed meanwhile; its version is {0}")]
+    /// The object has another version than expected; holds its current version.
+    #[error("the object was changed concurrently; its current version is {0}")]
     Conflict(u64),
-    /// The watch expired; read the object again.
+    /// The watched version is too old; read the object again.
     #[error("the watch expired")]
     Expired,
-    /// The platform's answer makes no sense.
-    #[error("the platform's answer makes no sense")]
-    Garbage,
+    /// The platform's response could not be parsed.
+    #[error("the platform's response could not be parsed")]
+    InvalidResponse,
 }
 
-/// An object with its version.
+/// A stored object.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+#[allow(missing_docs)]
 pub struct Object {
-    /// Version.
+    /// Changes with each write.
     pub version: u64,
-    /// Content.
     pub value: String,
 }
 
 #[derive(Debug, Deserialize)]
-struct VersionAnswer {
+struct VersionResponse {
     version: u64,
 }
 
-/// Calls the object API.
+/// Client of the object API at one address.
 #[derive(Debug, Clone)]
 pub struct ObjectClient {
     http: HttpClient,
@@ -64,35 +62,36 @@
 }
 
 impl ObjectClient {
-    /// A client of the object API at an address.
+    /// Creates a client without connecting.
     pub fn new(http: HttpClient, address: SocketAddr) -> Self {
         Self { http, address }
     }
 
-    /// Reads an object.
+    /// Reads the current version of an object.
     pub async fn read(&self, name: &str) -> Result<Object, PlatformError> {
         let uri = format!("http://{}/objects/{name}", self.address);
-        let answer = self.fetch(Request::get(uri).body(Full::default()), REQUEST_TIMEOUT).await?;
-        parse(&answer.1)
+        let response = self.fetch(Request::get(uri).body(Full::default()), REQUEST_TIMEOUT).await?;
+        parse(&response.1)
     }
 
-    /// Waits for a version after `version`; `None` where nothing changed for a while.
+    /// Waits for a version later than `version`. Returns `None` if there was none before the platform ended the watch.
     pub async fn watch(&self, name: &str, version: u64) -> Result<Option<Object>, PlatformError> {
         let uri = format!("http://{}/objects/{name}?watch_after={version}", self.address);
-        let answer = self.fetch(Request::get(uri).body(Full::default()), WATCH_TIMEOUT).await?;
-        if answer.0 == StatusCode::NOT_MODIFIED {
+        let response = self.fetch(Request::get(uri).body(Full::default()), WATCH_TIMEOUT).await?;
+        if response.0 == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
-        parse(&answer.1).map(Some)
+        parse(&response.1).map(Some)
     }
 
-    /// Writes an object whose version is still `expected`; 0 stands for one that does not exist yet.
+    /// Writes an object if its version is `expected`, where 0 means that it does not exist yet. Returns the new
+    /// version.
     pub async fn write(&self, name: &str, expected: u64, value: String) -> Result<u64, PlatformError> {
         let uri = format!("http://{}/objects/{name}", self.address);
         let request = Request::put(uri).header("if-match", expected).body(Full::new(Bytes::from(value)));
-        let answer = self.fetch(request, REQUEST_TIMEOUT).await?;
-        let answer: VersionAnswer = parse(&answer.1)?;
-        Ok(answer.version)
+        let response = self.fetch(request, REQUEST_TIMEOUT).await?;
+        let response: VersionResponse = parse(&response.1)?;
+        Ok(response.version)
     }
 
     async fn fetch(
@@ -100,26 +99,26 @@
         request: http::Result<Request<Full<Bytes>>>,
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let request = request.map_err(|error| PlatformError::Trouble(error.to_string()))?;
-        let response = self.http.fetch(request, timeout, MAX_OBJECT_BYTES).await.map_err(trouble)?;
+        let request = request.map_err(|error| PlatformError::Unavailable(error.to_string()))?;
+        let response = self.http.fetch(request, timeout, MAX_OBJECT_BYTES).await.map_err(unavailable)?;
         let (head, body) = response.into_parts();
         match head.status {
             StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             StatusCode::GONE => Err(PlatformError::Expired),
             StatusCode::CONFLICT => {
-                let answer: VersionAnswer = parse(&body)?;
-                Err(PlatformError::Conflict(answer.version))
+                let response: VersionResponse = parse(&body)?;
+                Err(PlatformError::Conflict(response.version))
             }
             status if status.is_success() || status == StatusCode::NOT_MODIFIED => Ok((status, body)),
-            status => Err(PlatformError::Trouble(format!("status {status}"))),
+            status => Err(PlatformError::Unavailable(format!("status {status}"))),
         }
     }
 }
 
-fn trouble(error: HttpError) -> PlatformError {
-    PlatformError::Trouble(error.to_string())
+fn unavailable(error: HttpError) -> PlatformError {
+    PlatformError::Unavailable(error.to_string())
 }
 
 fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, PlatformError> {
-    serde_json::from_slice(body).map_err(|_| PlatformError::Garbage)
+    serde_json::from_slice(body).map_err(|_| PlatformError::InvalidResponse)
 }
