--- a/crates/ctl/src/cause.rs
+++ b/crates/ctl/src/cause.rs
@@ -1,41 +1,41 @@
-//! What decided a call's end, said in a sentence.
+//! Explains in one sentence why a call ended as it did.
 
 use sumacdrift_types::ResultCode;
 
 use crate::log::LogLine;
 use crate::story::Story;
 
-/// Why a call or a program's last call ended as it did.
+/// Explains the end of a call, or of a program's last call.
 pub fn cause_of(story: &Story) -> String {
-    let Some(end) = story.lines.iter().rev().find(|line| is_end(line)) else {
+    let Some(end) = story.lines.iter().rev().find(|line| is_end_event(line)) else {
         return match story.lines.is_empty() {
-            true => "no line names it: it reached no node whose log is here, or its lines were left out \
-                     (log_lines_dropped)"
+            true => "no line names it: it reached none of the nodes whose logs were given, or its lines \
+                     were dropped (log_lines_dropped)"
                 .to_owned(),
             false => {
-                "no line tells its end: the node was killed, or its line was left out (log_lines_dropped)"
+                "no line records its end: the node was killed, or the line was dropped (log_lines_dropped)"
                     .to_owned()
             }
         };
     };
     match end.event.as_str() {
-        "served" => served(end),
-        "turn_refused" => turn_refused(end, story),
-        "given_up" => given_up(end, story),
-        "bad_call" => format!("the request is not well formed: {}", end.text("detail")),
-        "access_refused" => access_refused(end),
-        "quota_refused" => quota_refused(end),
+        "served" => explain_served(end),
+        "turn_refused" => explain_turn_refused(end, story),
+        "given_up" => explain_given_up(end, story),
+        "bad_call" => format!("the request is malformed: {}", end.text("detail")),
+        "access_refused" => explain_access_refused(end),
+        "quota_refused" => explain_quota_refused(end),
         "no_route" => format!(
             "configuration {} has no route for {}{}",
             end.number("version").unwrap_or(0),
             end.text("host"),
             end.text("path")
         ),
-        _ => format!("refused: {}", title_of(end)),
+        _ => format!("rejected: {}", result_title(end)),
     }
 }
 
-fn is_end(line: &LogLine) -> bool {
+fn is_end_event(line: &LogLine) -> bool {
     let ends = [
         "served",
         "turn_refused",
@@ -49,24 +49,24 @@
     ends.contains(&line.event.as_str())
 }
 
-fn access_refused(end: &LogLine) -> String {
+fn explain_access_refused(end: &LogLine) -> String {
     let age = end.number("age_ms").map_or("never confirmed".to_owned(), |age| format!("{age} ms old"));
     let limit = end.number("limit_ms").map_or(String::new(), |limit| format!(", {limit} ms allowed"));
     let version = end.number("version").unwrap_or(0);
-    format!("{}: configuration {version} was {age}{limit}", title_of(end))
+    format!("{}: configuration {version} was {age}{limit}", result_title(end))
 }
 
-fn quota_refused(end: &LogLine) -> String {
+fn explain_quota_refused(end: &LogLine) -> String {
     let counted = match end.number("counted") {
         Some(counted) => format!("{counted} calls counted of {}", end.number("most").unwrap_or(0)),
-        None => format!("nobody said so within {} ms", end.number("waited_ms").unwrap_or(0)),
+        None => format!("no quota decision within {} ms", end.number("waited_ms").unwrap_or(0)),
     };
-    format!("{}: tenant {}, {counted}", title_of(end), end.text("tenant"))
+    format!("{}: tenant {}, {counted}", result_title(end), end.text("tenant"))
 }
 
-fn served(end: &LogLine) -> String {
+fn explain_served(end: &LogLine) -> String {
     format!(
-        "served by {} with status {} after {} ms, {} engines having failed it before",
+        "served by {} with status {} after {} ms; {} engines had failed before",
         end.text("engine"),
         end.number("status").unwrap_or(0),
         end.number("age_ms").unwrap_or(0),
@@ -74,7 +74,7 @@
     )
 }
 
-fn turn_refused(end: &LogLine, story: &Story) -> String {
+fn explain_turn_refused(end: &LogLine, story: &Story) -> String {
     let reason = end.text("reason");
     let refusal = story.lines.iter().rev().find(|line| line.event == "ledger_refusal");
     if let Some(refusal) = refusal.filter(|line| line.text("why") == "budget") {
@@ -88,24 +88,24 @@
     }
     let previous = end.text("previous");
     if refusal.is_some() && !previous.is_empty() {
-        let ended = story.earlier.iter().rev().find(|line| is_end(line));
+        let ended = story.earlier.iter().rev().find(|line| is_end_event(line));
         let earlier = ended.map_or("no line names that turn".to_owned(), |line| {
-            format!("that turn ended with {} {}", line.event, title_of(line)).trim_end().to_owned()
+            format!("that turn ended with {} {}", line.event, result_title(line)).trim_end().to_owned()
         });
         return format!("{reason}: {previous}; {earlier}");
     }
-    let replicas = story.around.iter().filter(|line| line.node.starts_with("storage")).count();
+    let replicas = story.nearby.iter().filter(|line| line.node.starts_with("storage")).count();
     match replicas {
         0 => reason.to_owned(),
-        _ => format!("{reason}; {replicas} changes at the ledger's replicas shortly before, see below"),
+        _ => format!("{reason}; {replicas} state changes at ledger replicas shortly before, see below"),
     }
 }
 
-fn given_up(end: &LogLine, story: &Story) -> String {
+fn explain_given_up(end: &LogLine, story: &Story) -> String {
     if let Some(no_room) = story.lines.iter().rev().find(|line| line.event == "no_room") {
-        return format!("{}: {}", title_of(end), why_no_room(no_room));
+        return format!("{}: {}", result_title(end), explain_no_room(no_room));
     }
-    let may_have_run = match end.number("runs") {
+    let execution = match end.number("runs") {
         Some(0) => "no engine ran it",
         _ => "an engine may have run it",
     };
@@ -124,23 +124,23 @@
         .collect();
     let failures = if failures.is_empty() { String::new() } else { format!(" ({})", failures.join("; ")) };
     format!(
-        "{} after {} ms: {}, {may_have_run}{failures}",
+        "{} after {} ms: {}, {execution}{failures}",
         end.text("what"),
         end.number("age_ms").unwrap_or(0),
-        title_of(end)
+        result_title(end)
     )
 }
 
-fn why_no_room(line: &LogLine) -> String {
+fn explain_no_room(line: &LogLine) -> String {
     let number = |name: &str| line.number(name).unwrap_or(0);
     let reason = match line.text("reason") {
-        "program_too_late" => "its program would have begun too late to end in time",
-        "queue_full" => "no more calls may wait at the edge",
-        _ => "its caller would have left before an answer",
+        "program_too_late" => "its program would have started too late to finish in time",
+        "queue_full" => "the edge's queue was full",
+        _ => "its caller would have disconnected before an answer",
     };
     format!(
-        "no engine ran it; after {} ms {reason} ({} ms more expected; rank {}, {} calls waiting and {} under way here, \
-         {} slots at {})",
+        "no engine ran it; rejected after {} ms as {reason} (further wait of {} ms expected; rank {}, \
+         {} calls waiting and {} in flight at this edge, {} slots at {})",
         number("waited_ms"),
         number("expected_wait_ms"),
         number("rank"),
@@ -151,8 +151,8 @@
     )
 }
 
-/// The title of a line's result code.
-fn title_of(line: &LogLine) -> String {
+/// Number and title of a line's result code, or its `title` field if the code is missing or unknown.
+fn result_title(line: &LogLine) -> String {
     let code = line.number("code").and_then(|number| u32::try_from(number).ok());
     match code.and_then(ResultCode::from_number) {
         Some(code) => format!("{} {}", code.number(), code.title()),
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators ask of logs and metrics: the story of a call, events of the fleet, the state of nodes.
+//! Analysis of nodes' logs and metrics for operators.
 //!
-//! [`log`] reads the JSON lines that nodes write; [`story`] gathers those about one call or program; [`cause`] says
-//! what decided its end; [`metrics`] reads what nodes serve at their metrics address, [`groups`] puts the ledger's groups
-//! together from it.
+//! [`log`] parses the JSON lines that nodes write, [`story`] selects those about one call or program, and [`cause`]
+//! explains how it ended. [`metrics`] parses the metrics that nodes serve, and [`groups`] derives the state of the
+//! ledger's groups from them.
 
 pub mod cause;
 pub mod groups;
--- a/crates/ctl/src/log.rs
+++ b/crates/ctl/src/log.rs
@@ -1,4 +1,4 @@
-//! Lines of nodes' logs.
+//! Parsing of nodes' JSON logs.
 
 use std::io::{BufRead, BufReader, Read};
 
@@ -8,58 +8,58 @@
 /// A line of a node's log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogLine {
-    /// When it was written, as RFC 3339 in UTC; it sorts as text.
+    /// Time of writing in RFC 3339 and UTC, so that lines sort by this text.
     pub ts: String,
-    /// The node.
+    /// Name of the node; empty if missing.
     #[serde(default)]
     pub node: String,
-    /// What happened, as `docs/OPERATIONS.md` lists it.
+    /// Event name as listed in `docs/OPERATIONS.md`; empty if missing.
     #[serde(default)]
     pub event: String,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub fields: Map<String, Value>,
 }
 
-/// Fields that every line has and that say nothing of the event.
+/// Fields that are part of every line; left out of summaries.
 const COMMON_FIELDS: [&str; 2] = ["msg", "level"];
 
 impl LogLine {
-    /// A field as text; empty where there is none.
+    /// A string field; empty if missing or of another type.
     pub fn text(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// A field as a whole number.
+    /// A non-negative integer field; `None` if missing or of another type.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    /// The fields of the event, `name=value`, by name.
+    /// The event's own fields as `name=value`, sorted by name.
     pub fn summary(&self) -> String {
         let mut fields: Vec<(&String, &Value)> = self.fields.iter().collect();
         fields.retain(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
         fields.sort_by_key(|(name, _)| name.as_str());
-        let shown = fields.into_iter().map(|(name, value)| match value {
+        let pairs = fields.into_iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         });
-        shown.collect::<Vec<_>>().join(" ")
+        pairs.collect::<Vec<_>>().join(" ")
     }
 }
 
-/// What was read.
+/// The content of one or several logs.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ReadLines {
-    /// Lines, by time.
+pub struct ParsedLogs {
+    /// Log lines in order of time.
     pub lines: Vec<LogLine>,
-    /// Lines that are no log lines, such as the end of a process that was killed while it wrote.
+    /// Number of lines that are not valid log lines, such as one truncated when its process was killed.
     pub unreadable: usize,
 }
 
-/// Reads logs of several nodes and puts their lines in the order of time.
-pub fn read_logs(sources: Vec<Box<dyn Read>>) -> std::io::Result<ReadLines> {
-    let mut read = ReadLines::default();
+/// Reads the logs of several nodes and merges them in order of time.
+pub fn read_logs(sources: Vec<Box<dyn Read>>) -> std::io::Result<ParsedLogs> {
+    let mut read = ParsedLogs::default();
     for source in sources {
         for line in BufReader::new(source).split(b'\n') {
             let line = line?;
@@ -72,7 +72,7 @@
             }
         }
     }
-    // The sort is stable: lines of one node at the same time stay in their order.
-    read.lines.sort_by(|one, other| one.ts.cmp(&other.ts));
+    // A stable sort keeps a node's lines with equal times in their order.
+    read.lines.sort_by(|left, right| left.ts.cmp(&right.ts));
     Ok(read)
 }
--- a/crates/ctl/src/metrics.rs
+++ b/crates/ctl/src/metrics.rs
@@ -1,18 +1,18 @@
-//! What a node serves at its metrics address, in short.
+//! Parsing of nodes' metrics.
 
 use serde::Serialize;
 
-/// A metric with its value.
+/// A sample of a metric.
 #[derive(Debug, Clone, PartialEq, Serialize)]
+#[allow(missing_docs)]
 pub struct Metric {
-    /// Name with labels.
+    /// Metric name, with labels if it has any.
     pub name: String,
-    /// Value.
     pub value: f64,
 }
 
-/// Reads the Prometheus text format; buckets of histograms are left out, their sums and counts stay.
-pub fn read_metrics(text: &str) -> Vec<Metric> {
+/// Parses the Prometheus text format. Histogram buckets are left out; sums and counts are kept.
+pub fn parse_metrics(text: &str) -> Vec<Metric> {
     let lines = text.lines().filter(|line| !line.starts_with('#') && !line.contains("_bucket{"));
     let metrics = lines.filter_map(|line| {
         let (name, value) = line.rsplit_once(' ')?;
