--- a/crates/simulation/src/call_rules.rs
+++ b/crates/simulation/src/call_rules.rs
@@ -1,4 +1,4 @@
-//! What a simulated call is allowed, as its state machine takes it.
+//! Limits of simulated calls, as passed to the call state machine.
 
 use std::time::Duration;
 
@@ -6,30 +6,27 @@
 
 use crate::packet::CallerRequest;
 
-/// Engines that one turn may reach.
-const MAX_ENGINES: usize = 3;
-/// How long a call is held at the most; the simulation ends calls in its own ways long before.
-const CALL_TIME: Duration = Duration::from_secs(3600);
-/// The back end of service calls, as their state machine knows it.
-pub(crate) const SERVICE: &str = "service";
+const MAX_ENGINES_PER_TURN: usize = 3;
+/// Longer than any run, so that the call state machine never times a call out.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3600);
+/// Back-end id of service calls in the call state machine.
+pub(crate) const SERVICE_BACK_END: &str = "service";
 
-/// An engine as the state machine knows it.
 pub(crate) fn engine_id(engine: usize) -> EngineId {
     EngineId::new(&format!("engine-{engine}"))
 }
 
-/// What the configuration allows for a request.
-pub(crate) fn rules_of(request: &CallerRequest) -> CallRules {
+pub(crate) fn call_rules(request: &CallerRequest) -> CallRules {
     let kind = match request {
         CallerRequest::Turn(_) => CallKind::Stream { resumable: true },
         _ => CallKind::Once,
     };
     CallRules {
         kind,
-        max_engines: MAX_ENGINES,
+        max_engines: MAX_ENGINES_PER_TURN,
         returns_to_last: false,
-        timeout: CALL_TIME,
-        aim: CALL_TIME,
+        timeout: CALL_TIMEOUT,
+        aim: CALL_TIMEOUT,
         priority: 0,
     }
 }
--- a/crates/simulation/src/caller.rs
+++ b/crates/simulation/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: programs of several turns and service calls that may run only once.
+//! Simulated callers: programs of several turns, and service calls that must run at most once.
 
 use std::time::Duration;
 
@@ -7,56 +7,62 @@
 use crate::oracle::{expected_history, user_message};
 use crate::packet::{CallerAnswer, CallerRequest, TurnRequest};
 
-/// How long a caller waits before it asks another node.
+/// Time without an answer after which a caller sends its request to another node.
 pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Tokens that each turn asks for.
-pub(crate) const WANTED_OUTPUT: u64 = 40;
+/// Output tokens that each turn requests.
+pub(crate) const REQUESTED_OUTPUT_TOKENS: u64 = 40;
 
-/// What a caller does.
+/// The requests of a caller. The `Debug` text appears in reports of violations.
 #[derive(Debug, Clone)]
-pub(crate) enum Plan {
+pub(crate) enum CallerPlan {
     Program { program: ProgramId, turns: u32, mode: HistoryMode, output_budget: u64, is_ended: bool },
     Service { key: String, answers_wanted: u32 },
 }
 
-/// A caller and how far it is.
+/// A caller and its progress.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
-    pub(crate) plan: Plan,
-    /// Turns, or service answers, that it has.
+    pub(crate) plan: CallerPlan,
+    /// Turns, or service calls, answered so far.
     pub(crate) answered: u32,
-    /// Number of the latest request; an answer to an earlier one is still an answer.
+    /// Number of the latest request. Answers to earlier requests are accepted too.
     pub(crate) attempt: u64,
     pub(crate) is_done: bool,
-    /// Whether the next request is sent with an altered history first.
-    pub(crate) lies_next: bool,
-    /// The latest turn about which it sent an altered history.
-    pub(crate) lied_about: Option<u32>,
+    /// Whether the next full history is sent with its first message altered.
+    pub(crate) should_alter_history: bool,
+    /// Latest turn that was requested with an altered history.
+    pub(crate) altered_turn: Option<u32>,
 }
 
-/// What a caller does after an answer.
+/// A caller's reaction to an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Next {
-    /// Send the next request.
+pub(crate) enum NextStep {
     Continue,
-    /// Send the same request again after a pause.
-    Again,
-    /// The answer belongs to something already settled.
+    /// Send the same request again after a delay.
+    Retry,
+    /// The answer concerns a turn that is not the current one, or the caller is done.
     Ignore,
-    /// All done.
     Done,
 }
 
 impl Caller {
-    pub(crate) fn new(plan: Plan) -> Self {
-        Self { plan, answered: 0, attempt: 0, is_done: false, lies_next: false, lied_about: None }
+    pub(crate) fn new(plan: CallerPlan) -> Self {
+        Self {
+            plan,
+            answered: 0,
+            attempt: 0,
+            is_done: false,
+            should_alter_history: false,
+            altered_turn: None,
+        }
     }
 
-    /// The request that is due, `ahead` turns after the next one.
-    pub(crate) fn request(&self, ahead: u32) -> Option<CallerRequest> {
+    /// The request for the turn `ahead` turns after the next one. Past the last turn the request ends the program if
+    /// `ahead` is 0, and is `None` otherwise.
+    pub(crate) fn build_request(&self, ahead: u32) -> Option<CallerRequest> {
         match &self.plan {
-            Plan::Service { key, .. } => Some(CallerRequest::Service { key: key.clone(), body: 1 }),
-            Plan::Program { program, turns, mode, output_budget, is_ended } => {
+            CallerPlan::Service { key, .. } => Some(CallerRequest::Service { key: key.clone(), body: 1 }),
+            CallerPlan::Program { program, turns, mode, output_budget, is_ended } => {
                 let turn = self.answered + ahead;
                 if turn >= *turns || *is_ended {
                     let is_due = ahead == 0;
@@ -68,7 +74,7 @@
                     mode: *mode,
                     messages: self.messages(program, turn, *mode),
                     output_budget: *output_budget,
-                    wanted_output: WANTED_OUTPUT,
+                    wanted_output: REQUESTED_OUTPUT_TOKENS,
                 }))
             }
         }
@@ -80,59 +86,59 @@
             return vec![new];
         }
         let mut messages = expected_history(program, turn as usize);
-        if self.lies_next && !messages.is_empty() {
+        if self.should_alter_history && !messages.is_empty() {
             messages[0] = ChatMessage::from_canonical("{\"content\":\"altered\",\"role\":\"user\"}");
         }
         messages.push(new);
         messages
     }
 
-    /// Takes an answer to a request for `turn`.
-    pub(crate) fn take(&mut self, turn: u32, answer: &CallerAnswer) -> Next {
+    /// Applies an answer to a request for `turn`.
+    pub(crate) fn handle_answer(&mut self, turn: u32, answer: &CallerAnswer) -> NextStep {
         if self.is_done {
-            return Next::Ignore;
+            return NextStep::Ignore;
         }
         match answer {
             CallerAnswer::Turn { .. } if turn == self.answered => self.advance(),
-            CallerAnswer::Turn { .. } => Next::Ignore,
+            CallerAnswer::Turn { .. } => NextStep::Ignore,
             CallerAnswer::Service => self.advance(),
             CallerAnswer::Ended => self.finish(),
-            CallerAnswer::Refused { problem, .. } => self.take_refusal(turn, problem.code),
+            CallerAnswer::Refused { problem, .. } => self.handle_rejection(turn, problem.code),
         }
     }
 
-    fn advance(&mut self) -> Next {
+    fn advance(&mut self) -> NextStep {
         self.answered += 1;
-        if let Plan::Service { answers_wanted, .. } = &self.plan
+        if let CallerPlan::Service { answers_wanted, .. } = &self.plan
             && self.answered >= *answers_wanted
         {
             return self.finish();
         }
-        Next::Continue
+        NextStep::Continue
     }
 
-    fn take_refusal(&mut self, turn: u32, code: ResultCode) -> Next {
-        let is_about_present = turn == self.answered;
+    fn handle_rejection(&mut self, turn: u32, code: ResultCode) -> NextStep {
+        let is_current_turn = turn == self.answered;
         match code {
             ResultCode::OutcomeUnknown => self.finish(),
-            ResultCode::BudgetExhausted if is_about_present => {
-                if let Plan::Program { is_ended, .. } = &mut self.plan {
+            ResultCode::BudgetExhausted if is_current_turn => {
+                if let CallerPlan::Program { is_ended, .. } = &mut self.plan {
                     *is_ended = true;
                 }
-                Next::Continue
+                NextStep::Continue
             }
-            ResultCode::HistoryMismatch | ResultCode::TurnContentDiffers if self.lies_next => {
-                self.lies_next = false;
-                if is_about_present { Next::Again } else { Next::Ignore }
+            ResultCode::HistoryMismatch | ResultCode::TurnContentDiffers if self.should_alter_history => {
+                self.should_alter_history = false;
+                if is_current_turn { NextStep::Retry } else { NextStep::Ignore }
             }
             ResultCode::UnknownProgram | ResultCode::ProgramEnded => self.finish(),
-            _ if is_about_present => Next::Again,
-            _ => Next::Ignore,
+            _ if is_current_turn => NextStep::Retry,
+            _ => NextStep::Ignore,
         }
     }
 
-    fn finish(&mut self) -> Next {
+    fn finish(&mut self) -> NextStep {
         self.is_done = true;
-        Next::Done
+        NextStep::Done
     }
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,42 +1,42 @@
-//! Faults that a run can have.
+//! Kinds of injected faults and their names.
 
 use std::fmt;
 
-/// A kind of fault.
+/// A kind of injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// A node ends without a word and starts again with nothing remembered.
+    /// A node crashes and restarts without its state.
     Crash,
-    /// A node stands still for longer than a lease and then goes on.
+    /// A node stalls, possibly for longer than its lease, and resumes.
     Pause,
-    /// A node is cut off in both directions.
+    /// A node can neither send to other nodes nor receive from them.
     Partition,
-    /// What a node sends is lost, what is sent to it arrives.
+    /// A node's outgoing messages are lost; incoming ones arrive.
     OneWayLoss,
-    /// Some messages are lost.
+    /// A share of the messages between nodes is lost.
     Loss,
-    /// Messages take long.
+    /// Messages are delayed.
     Delay,
-    /// Messages overtake each other.
+    /// Messages are reordered.
     Reorder,
-    /// Messages arrive twice.
+    /// A share of the messages between nodes is delivered twice.
     Duplicate,
-    /// The platform does not answer.
+    /// The platform doesn't answer.
     PlatformDown,
-    /// The platform's answers are lost after the change took effect.
+    /// Platform writes take effect, but their answers are lost.
     AnswerLost,
-    /// A service runs a call and its answer never comes.
+    /// A service runs a call but never answers.
     HungTool,
-    /// Engines break streams off.
+    /// Engines cut streams off before their end.
     CutStream,
-    /// Two operators roll out different changes at the same time.
+    /// Two operators roll out different changes concurrently.
     RacingOperators,
-    /// A node is stopped as planned and started again.
+    /// A node is drained, stopped and restarted.
     PlannedStop,
 }
 
 impl FaultKind {
-    /// All kinds.
+    /// Every kind, in order of declaration.
     pub const ALL: [FaultKind; 14] = [
         FaultKind::Crash,
         FaultKind::Pause,
@@ -81,12 +81,12 @@
     }
 }
 
-/// A list of faults names one that does not exist.
+/// A list of faults contains an unknown name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("there is no fault \"{0}\"")]
+#[error("unknown fault \"{0}\"")]
 pub struct UnknownFault(pub String);
 
-/// Reads a list such as `crash,pause`; `all` and `none` are lists too.
+/// Parses a list such as `crash,pause`. `all` stands for every kind, `none` or an empty list for no faults.
 pub fn parse_faults(list: &str) -> Result<Vec<FaultKind>, UnknownFault> {
     match list {
         "all" => return Ok(FaultKind::ALL.to_vec()),
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The steps of calls on a simulated node. They follow the node's call runners one for one.
+//! Call handling on a simulated node, with the same steps as the node's call runners.
 
 use std::time::Duration;
 
@@ -14,38 +14,34 @@
     CallId, ChatMessage, HistoryMode, Incarnation, Problem, ResultCode, TenantName, Timestamp, Usage,
 };
 
-use crate::call_rules::{SERVICE, engine_id, rules_of};
+use crate::call_rules::{SERVICE_BACK_END, call_rules, engine_id};
 use crate::node::{Waiter, engine_name};
 use crate::oracle::engine_answer;
 use crate::packet::{CallerAnswer, CallerRequest, CommandAnswer, Packet, TurnRequest};
 use crate::task::{Stage, Task, ledger_key};
 use crate::world::{ENGINES, Event, World};
 
-/// How long an answer to a command is waited for.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a begin may be held by the leader.
-const TURN_WAIT: Duration = Duration::from_secs(3);
-/// How long commands that must not get lost are tried.
-const COMMIT_TIME: Duration = Duration::from_secs(15);
-/// How long a call may run.
+/// How long the leader may hold a turn before admission.
+const MAX_TURN_WAIT: Duration = Duration::from_secs(3);
+/// How long a command that must be committed is retried.
+const COMMIT_RETRY_TIME: Duration = Duration::from_secs(15);
 const RUN_LIMIT: Duration = Duration::from_secs(10);
-/// Pause before a command is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// How long a service's answer is waited for.
+/// Delay before a command that reached no leader is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
-    /// A caller's request reaches a gateway.
-    pub(crate) fn gateway_request(&mut self, node: usize, caller: usize, request: CallerRequest) {
+    pub(crate) fn handle_request(&mut self, node: usize, caller: usize, request: CallerRequest) {
         let call = CallId(self.random.random());
-        let one = &self.nodes[node];
-        if !one.is_up || one.is_paused(self.now) {
-            // Nothing answers; the caller's own timeout takes over.
+        let sim_node = &self.nodes[node];
+        if !sim_node.is_up || sim_node.is_paused(self.now) {
+            // No answer is sent; the caller times out.
             return;
         }
-        let refusal = if one.is_stopping {
+        let rejection = if sim_node.is_stopping {
             Some(ResultCode::NodeStopping)
-        } else if one.in_force.current().is_none() {
+        } else if sim_node.configuration.current().is_none() {
             Some(ResultCode::NoConfiguration)
         } else {
             None
@@ -54,63 +50,63 @@
             CallerRequest::Turn(request) => request.turn.0,
             _ => 0,
         };
-        if let Some(code) = refusal {
-            let problem = Problem::not_run(code, "refused at the door");
-            self.tell_caller(caller, turn, CallerAnswer::Refused { call, problem });
+        if let Some(code) = rejection {
+            let problem = Problem::not_run(code, "rejected before admission");
+            self.send_answer(caller, turn, CallerAnswer::Refused { call, problem });
             return;
         }
-        let machine = CallMachine::new(rules_of(&request), None, self.now);
+        let machine = CallMachine::new(call_rules(&request), None, self.now);
         let task = Task {
             call,
             caller,
             request,
-            stage: Stage::Beginning,
+            stage: Stage::AwaitingAdmission,
             exchange: 0,
             command: None,
-            next_target: 0,
-            give_up: Timestamp::default(),
+            target_index: 0,
+            retry_deadline: Timestamp::default(),
             machine,
-            generated: 0,
+            generated_tokens: 0,
             engines: Vec::new(),
         };
         self.nodes[node].tasks.insert(call, task);
-        self.begin(node, call);
+        self.request_admission(node, call);
     }
 
-    fn tell_caller(&mut self, caller: usize, turn: u32, answer: CallerAnswer) {
-        let way = Duration::from_micros(self.random.random_range(500..3_000));
-        self.schedule(way, Event::CallerGets { caller, turn, answer: Box::new(answer) });
+    fn send_answer(&mut self, caller: usize, turn: u32, answer: CallerAnswer) {
+        let delay = Duration::from_micros(self.random.random_range(500..3_000));
+        self.schedule(delay, Event::CallerGets { caller, turn, answer: Box::new(answer) });
     }
 
-    fn begin(&mut self, node: usize, call: CallId) {
+    fn request_admission(&mut self, node: usize, call: CallId) {
         let runner = self.nodes[node].runner();
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
-        let (command, give_up) = match &task.request {
+        let (command, retry_for) = match &task.request {
             CallerRequest::Turn(request) => {
                 let begin = begin_turn(call, request, runner, self.now);
-                (Command::BeginTurn(Box::new(begin)), TURN_WAIT)
+                (Command::BeginTurn(Box::new(begin)), MAX_TURN_WAIT)
             }
             CallerRequest::Service { key, body } => {
                 let Some(key) = ledger_key(key) else { return };
                 let begin = BeginService { call, key, request: [*body; 16], runner, run_limit: RUN_LIMIT };
-                (Command::BeginService(begin), COMMIT_TIME)
+                (Command::BeginService(begin), COMMIT_RETRY_TIME)
             }
             CallerRequest::End { program } => {
-                task.stage = Stage::Ending;
+                task.stage = Stage::EndingProgram;
                 let command = Command::EndProgram { call, program: program.clone(), tenant: Some(tenant()) };
-                (command, TURN_WAIT)
+                (command, MAX_TURN_WAIT)
             }
         };
-        self.start_command(node, call, command, give_up + COMMAND_TIMEOUT);
+        self.start_command(node, call, command, retry_for + COMMAND_TIMEOUT);
     }
 
-    /// Begins to send a command, which is repeated until it is answered or given up.
-    fn start_command(&mut self, node: usize, call: CallId, command: Command, tried_for: Duration) {
-        let give_up = self.now + tried_for;
+    /// Sends a command and retries it until it is answered or `retry_for` has passed.
+    fn start_command(&mut self, node: usize, call: CallId, command: Command, retry_for: Duration) {
+        let retry_deadline = self.now + retry_for;
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
             task.command = Some(command);
-            task.give_up = give_up;
-            task.next_target = 0;
+            task.retry_deadline = retry_deadline;
+            task.target_index = 0;
         }
         self.send_command(node, call);
     }
@@ -120,37 +116,37 @@
         self.next_exchange += 1;
         let Some(task) = self.nodes[node].tasks.get(&call) else { return };
         let Some(command) = task.command.clone() else { return };
-        let tried = task.next_target;
-        let target = self.next_target(node, tried);
+        let tried = task.target_index;
+        let target = self.choose_target(node, tried);
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
             task.exchange = exchange;
         }
-        self.nodes[node].exchanges.insert(exchange, call);
-        let holds = matches!(command, Command::BeginTurn(_));
-        let timeout = if holds { TURN_WAIT + COMMAND_TIMEOUT } else { COMMAND_TIMEOUT };
+        self.nodes[node].pending_exchanges.insert(exchange, call);
+        let may_be_held = matches!(command, Command::BeginTurn(_));
+        let timeout = if may_be_held { MAX_TURN_WAIT + COMMAND_TIMEOUT } else { COMMAND_TIMEOUT };
         let incarnation = self.nodes[node].incarnation;
         self.schedule(timeout, Event::TaskTimer { node, incarnation, call, exchange });
         self.send(node, target, Packet::Command { exchange, command });
     }
 
-    /// No answer came in time.
-    pub(crate) fn task_timer(&mut self, node: usize, call: CallId, exchange: u64) {
+    /// Handles an exchange that got no answer in time.
+    pub(crate) fn handle_task_timeout(&mut self, node: usize, call: CallId, exchange: u64) {
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
         if task.exchange != exchange {
             return;
         }
-        if matches!(task.stage, Stage::Queueing { .. }) {
-            self.queue_lost(node, call);
+        if matches!(task.stage, Stage::Queued { .. }) {
+            self.handle_enqueue_timeout(node, call);
             return;
         }
-        task.next_target += 1;
+        task.target_index += 1;
         self.nodes[node].leader = None;
-        self.nodes[node].exchanges.remove(&exchange);
+        self.nodes[node].pending_exchanges.remove(&exchange);
         self.retry_command(node, call);
     }
 
-    /// The pause before a command is tried again is over.
-    pub(crate) fn task_retry(&mut self, node: usize, call: CallId, exchange: u64) {
+    /// Retries a command after the retry delay.
+    pub(crate) fn handle_task_retry(&mut self, node: usize, call: CallId, exchange: u64) {
         let task = self.nodes[node].tasks.get(&call);
         if task.is_some_and(|task| task.exchange == exchange) {
             self.retry_command(node, call);
@@ -160,19 +156,19 @@
     fn retry_command(&mut self, node: usize, call: CallId) {
         let now = self.now;
         let Some(task) = self.nodes[node].tasks.get(&call) else { return };
-        if now >= task.give_up {
-            self.command_given_up(node, call);
+        if now >= task.retry_deadline {
+            self.fail_command(node, call);
         } else {
             self.send_command(node, call);
         }
     }
 
-    fn command_given_up(&mut self, node: usize, call: CallId) {
+    fn fail_command(&mut self, node: usize, call: CallId) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         match task.stage {
-            Stage::Beginning => {
-                self.refuse(node, call, Problem::not_run(ResultCode::NoLeader, "no leader answered"));
-                // Whether the call was admitted is not known; this settles it.
+            Stage::AwaitingAdmission => {
+                self.reject_call(node, call, Problem::not_run(ResultCode::NoLeader, "no leader answered"));
+                // The call may have been admitted; this command ends it in that case.
                 match &task.request {
                     CallerRequest::Turn(request) => {
                         let program = request.program.clone();
@@ -183,22 +179,22 @@
                             engines: Vec::new(),
                             reason: "no answer".to_owned(),
                         };
-                        self.settle(node, task, abandon);
+                        self.commit_failure(node, task, abandon);
                     }
                     CallerRequest::Service { key, .. } => {
                         if let Some(key) = ledger_key(key) {
-                            self.settle(node, task, Command::ReleaseService { key, call });
+                            self.commit_failure(node, task, Command::ReleaseService { key, call });
                         }
                     }
                     CallerRequest::End { .. } => {}
                 }
             }
-            Stage::Finishing { .. } | Stage::FinishingService => {
+            Stage::CommittingAnswer { .. } | Stage::CommittingService => {
                 let problem = Problem::unknown(ResultCode::NotCommitted, "the answer was not committed");
-                self.refuse(node, call, problem);
+                self.reject_call(node, call, problem);
             }
-            Stage::Ending => {
-                self.refuse(node, call, Problem::not_run(ResultCode::NoLeader, "no leader answered"));
+            Stage::EndingProgram => {
+                self.reject_call(node, call, Problem::not_run(ResultCode::NoLeader, "no leader answered"));
             }
             _ => {
                 self.nodes[node].tasks.remove(&call);
@@ -206,103 +202,103 @@
         }
     }
 
-    /// Keeps a task only to record how it ended; its caller has been told.
-    fn settle(&mut self, node: usize, mut task: Task, command: Command) {
+    /// Commits the end of a call whose caller was already answered.
+    fn commit_failure(&mut self, node: usize, mut task: Task, command: Command) {
         let call = task.call;
-        task.stage = Stage::Abandoning;
+        task.stage = Stage::CommittingFailure;
         self.nodes[node].tasks.insert(call, task);
-        self.start_command(node, call, command, COMMIT_TIME);
+        self.start_command(node, call, command, COMMIT_RETRY_TIME);
     }
 
-    fn refuse(&mut self, node: usize, call: CallId, problem: Problem) {
+    fn reject_call(&mut self, node: usize, call: CallId, problem: Problem) {
         if let Some(task) = self.nodes[node].tasks.remove(&call) {
             let turn = task.turn();
-            self.tell_caller(task.caller, turn, CallerAnswer::Refused { call, problem });
+            self.send_answer(task.caller, turn, CallerAnswer::Refused { call, problem });
         }
     }
 
-    /// An answer to a command arrives.
-    pub(crate) fn command_answered(
+    pub(crate) fn handle_command_answer(
         &mut self,
         node: usize,
         from: usize,
         exchange: u64,
         answer: CommandAnswer,
     ) {
-        let Some(call) = self.nodes[node].exchanges.remove(&exchange) else { return };
+        let Some(call) = self.nodes[node].pending_exchanges.remove(&exchange) else { return };
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
         if task.exchange != exchange {
             return;
         }
         match answer {
             CommandAnswer::NotLeader(hint) => {
-                task.next_target += 1;
-                let marker = self.next_exchange;
+                task.target_index += 1;
+                let retry_exchange = self.next_exchange;
                 self.next_exchange += 1;
-                task.exchange = marker;
-                let learns = hint.filter(|hint| *hint != from);
-                self.nodes[node].leader = learns;
+                task.exchange = retry_exchange;
+                let new_leader = hint.filter(|hint| *hint != from);
+                self.nodes[node].leader = new_leader;
                 let incarnation = self.nodes[node].incarnation;
-                let retry = Event::TaskRetry { node, incarnation, call, exchange: marker };
-                self.schedule(RETRY_PAUSE, retry);
+                let retry = Event::TaskRetry { node, incarnation, call, exchange: retry_exchange };
+                self.schedule(RETRY_DELAY, retry);
             }
             CommandAnswer::Reply(reply) => {
                 self.nodes[node].leader = Some(from);
-                self.replied(node, call, reply);
+                self.handle_reply(node, call, reply);
             }
         }
     }
 
-    fn replied(&mut self, node: usize, call: CallId, reply: Reply) {
+    fn handle_reply(&mut self, node: usize, call: CallId, reply: Reply) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         match (&task.stage, reply) {
-            (Stage::Abandoning, _) => {
+            (Stage::CommittingFailure, _) => {
                 self.nodes[node].tasks.remove(&call);
             }
-            (_, Reply::Refused(problem)) => self.refuse(node, call, problem),
+            (_, Reply::Refused(problem)) => self.reject_call(node, call, problem),
             (_, Reply::Abandoned) => {
-                let problem = Problem::unknown(ResultCode::NotCommitted, "the call was given up meanwhile");
-                self.refuse(node, call, problem);
+                let problem =
+                    Problem::unknown(ResultCode::NotCommitted, "the call was abandoned before its commit");
+                self.reject_call(node, call, problem);
             }
-            (Stage::Beginning, Reply::Run(run)) => self.place(node, call, *run),
-            (Stage::Beginning, Reply::Replay(recorded)) => {
-                self.answer_turn(node, call, recorded.answer.message);
+            (Stage::AwaitingAdmission, Reply::Run(run)) => self.enqueue_turn(node, call, *run),
+            (Stage::AwaitingAdmission, Reply::Replay(recorded)) => {
+                self.complete_turn(node, call, recorded.answer.message);
             }
-            (Stage::Beginning, Reply::RunService) => self.run_service(node, call),
-            (Stage::Beginning, Reply::ReplayService(_)) => {
-                self.answer(node, call, CallerAnswer::Service);
+            (Stage::AwaitingAdmission, Reply::RunService) => self.run_service(node, call),
+            (Stage::AwaitingAdmission, Reply::ReplayService(_)) => {
+                self.complete_call(node, call, CallerAnswer::Service);
             }
-            (Stage::Finishing { message }, Reply::Done) => {
+            (Stage::CommittingAnswer { message }, Reply::Done) => {
                 let message = message.clone();
-                self.answer_turn(node, call, message);
+                self.complete_turn(node, call, message);
             }
-            (Stage::FinishingService, Reply::Done) => {
-                self.answer(node, call, CallerAnswer::Service);
+            (Stage::CommittingService, Reply::Done) => {
+                self.complete_call(node, call, CallerAnswer::Service);
             }
-            (Stage::Ending, Reply::Done) => self.answer(node, call, CallerAnswer::Ended),
+            (Stage::EndingProgram, Reply::Done) => self.complete_call(node, call, CallerAnswer::Ended),
             _ => {}
         }
     }
 
-    fn answer_turn(&mut self, node: usize, call: CallId, message: ChatMessage) {
-        self.answer(node, call, CallerAnswer::Turn { message });
+    fn complete_turn(&mut self, node: usize, call: CallId, message: ChatMessage) {
+        self.complete_call(node, call, CallerAnswer::Turn { message });
     }
 
-    fn answer(&mut self, node: usize, call: CallId, answer: CallerAnswer) {
+    fn complete_call(&mut self, node: usize, call: CallId, answer: CallerAnswer) {
         if let Some(task) = self.nodes[node].tasks.remove(&call) {
-            self.tell_caller(task.caller, task.turn(), answer);
+            self.send_answer(task.caller, task.turn(), answer);
         }
     }
 
-    /// Chooses an engine and queues the call at its owner.
-    fn place(&mut self, node: usize, call: CallId, run: RunTurn) {
-        let leaving = self.nodes[node].in_force.current().map(|present| present.leaving.clone());
+    /// Chooses an engine and enqueues the call at the engine's owner.
+    fn enqueue_turn(&mut self, node: usize, call: CallId, run: RunTurn) {
+        let leaving = self.nodes[node].configuration.current().map(|current| current.leaving.clone());
         let leaving = leaving.unwrap_or_default();
         let usable: Vec<usize> = (0..ENGINES)
             .filter(|engine| !leaving.contains(engine) || is_broken(Rule::LeavingEngineRefuses))
             .collect();
         let engine = usable[self.random.random_range(0..usable.len())];
-        let owner = self.nodes[node].owner_of(engine, self.now);
+        let owner = self.nodes[node].engine_owner(engine, self.now);
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
         let Some(request) = task.turn_request().cloned() else { return };
         let work = Work {
@@ -317,88 +313,95 @@
         };
         let exchange = self.next_exchange;
         self.next_exchange += 1;
-        task.stage = Stage::Queueing { run: Box::new(run), engine, owner };
+        task.stage = Stage::Queued { run: Box::new(run), engine, owner };
         task.exchange = exchange;
-        self.nodes[node].exchanges.insert(exchange, call);
+        self.nodes[node].pending_exchanges.insert(exchange, call);
         let incarnation = self.nodes[node].incarnation;
         self.schedule(COMMAND_TIMEOUT * 3, Event::TaskTimer { node, incarnation, call, exchange });
         self.send(node, owner, Packet::Enqueue { exchange, engine, work: Box::new(work) });
     }
 
-    /// The owner did not answer: give back what it may have granted and try elsewhere.
-    fn queue_lost(&mut self, node: usize, call: CallId) {
+    /// Handles an owner that didn't answer: withdraws the call there, in case it was granted a slot, and retries.
+    fn handle_enqueue_timeout(&mut self, node: usize, call: CallId) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
-        let Stage::Queueing { run, engine, owner } = task.stage else { return };
+        let Stage::Queued { run, engine, owner } = task.stage else { return };
         self.send(node, owner, Packet::Forget { engine, call });
-        self.next_attempt(node, call, *run, engine, Failure::NotSent);
+        self.retry_or_fail(node, call, *run, engine, Failure::NotSent);
     }
 
-    fn next_attempt(&mut self, node: usize, call: CallId, run: RunTurn, engine: usize, failure: Failure) {
+    fn retry_or_fail(&mut self, node: usize, call: CallId, run: RunTurn, engine: usize, failure: Failure) {
         let now = self.now;
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
         if let Next::Try { .. } = task.machine.failed(&engine_id(engine), failure, now) {
-            self.place(node, call, run);
+            self.enqueue_turn(node, call, run);
             return;
         }
         let ran = task.machine.ran();
         let problem = Problem::not_run(ResultCode::BackEndCut, "all attempts failed").with_ran(ran);
         let task = task.clone();
-        self.refuse(node, call, problem);
+        self.reject_call(node, call, problem);
         let Some(request) = task.turn_request().cloned() else { return };
         let engines = task.engines.iter().map(|engine| engine_name(*engine)).collect();
         let abandon = Command::AbandonTurn {
             program: request.program,
             call,
-            output_tokens: task.generated,
+            output_tokens: task.generated_tokens,
             engines,
             reason: "all attempts failed".to_owned(),
         };
-        self.settle(node, task, abandon);
+        self.commit_failure(node, task, abandon);
     }
 
-    /// A call arrives at an engine's owner.
-    pub(crate) fn enqueue(&mut self, node: usize, from: usize, exchange: u64, engine: usize, work: Work) {
+    /// Enqueues a call at this node, the engine's owner.
+    pub(crate) fn handle_enqueue(
+        &mut self,
+        node: usize,
+        from: usize,
+        exchange: u64,
+        engine: usize,
+        work: Work,
+    ) {
         let waiter = Waiter { node: from, incarnation: self.nodes[from].incarnation, exchange };
         let now = self.now;
-        self.nodes[node].queue_waiting.insert(work.call, waiter);
-        let effects = self.nodes[node].queue(engine).enqueue(work, now);
-        self.queue_effects(node, effects);
+        self.nodes[node].queue_waiters.insert(work.call, waiter);
+        let effects = self.nodes[node].engine_queue(engine).enqueue(work, now);
+        self.apply_queue_effects(node, effects);
     }
 
-    pub(crate) fn queue_effects(&mut self, node: usize, effects: Vec<QueueEffect>) {
+    pub(crate) fn apply_queue_effects(&mut self, node: usize, effects: Vec<QueueEffect>) {
         for effect in effects {
             let (call, outcome) = match effect {
                 QueueEffect::Grant { call } => (call, Ok(())),
                 QueueEffect::Refuse { call, problem } => (call, Err(problem)),
             };
-            if let Some(waiter) = self.nodes[node].queue_waiting.remove(&call) {
+            if let Some(waiter) = self.nodes[node].queue_waiters.remove(&call) {
                 let exchange = waiter.exchange;
                 self.send(node, waiter.node, Packet::EnqueueAnswer { exchange, outcome });
             }
         }
     }
 
-    pub(crate) fn forget_queued(&mut self, node: usize, engine: usize, call: CallId) {
+    pub(crate) fn withdraw_queued(&mut self, node: usize, engine: usize, call: CallId) {
         let now = self.now;
-        self.nodes[node].queue_waiting.remove(&call);
-        let queue = self.nodes[node].queue(engine);
+        self.nodes[node].queue_waiters.remove(&call);
+        let queue = self.nodes[node].engine_queue(engine);
         queue.forget(call);
         let release = Release { call, finished: None, is_engine_fault: false };
         let effects = queue.release(release, now);
-        self.queue_effects(node, effects);
+        self.apply_queue_effects(node, effects);
     }
 
-    /// The owner granted or refused.
-    pub(crate) fn enqueue_answered(&mut self, node: usize, exchange: u64, outcome: Result<(), Problem>) {
-        let Some(call) = self.nodes[node].exchanges.remove(&exchange) else { return };
+    /// Handles the owner's grant or rejection.
+    pub(crate) fn handle_enqueue_answer(&mut self, node: usize, exchange: u64, outcome: Result<(), Problem>) {
+        let Some(call) = self.nodes[node].pending_exchanges.remove(&exchange) else { return };
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         if task.exchange != exchange {
             return;
         }
-        let Stage::Queueing { run, engine, owner } = task.stage.clone() else { return };
+        let Stage::Queued { run, engine, owner } = task.stage.clone() else { return };
         match outcome {
             Ok(()) => self.run_on_engine(node, task, *run, engine, owner),
-            Err(_) => self.next_attempt(node, call, *run, engine, Failure::NotSent),
+            Err(_) => self.retry_or_fail(node, call, *run, engine, Failure::NotSent),
         }
     }
 
@@ -406,33 +409,33 @@
         let call = task.call;
         let Some(request) = task.turn_request().cloned() else { return };
         let prompt = prompt(&run, &request);
-        self.oracle.engine_run(call, &request.program, &prompt);
-        let is_excused = self.is_disturbed();
-        self.oracle.sent_to(engine, is_excused, self.now);
-        self.memory[engine].insert(request.program.clone());
+        self.oracle.record_engine_call(call, &request.program, &prompt);
+        let is_excused = self.is_lag_tolerated();
+        self.oracle.check_dispatch(engine, is_excused, self.now);
+        self.engine_memory[engine].insert(request.program.clone());
         let tokens = run.output_tokens.min(request.wanted_output);
-        self.oracle.engine_generated(&request.program, tokens);
+        self.oracle.add_generated_tokens(&request.program, tokens);
         task.machine.sent(&engine_id(engine));
         task.machine.head_given();
-        task.generated += tokens;
+        task.generated_tokens += tokens;
         task.engines.push(engine);
         task.exchange = self.next_exchange;
         self.next_exchange += 1;
         task.stage = Stage::Running { run: Box::new(run), engine, owner };
         self.nodes[node].tasks.insert(call, task);
-        let is_cut = self.cuts_streams && self.random.random_bool(0.5);
+        let is_cut = self.should_cut_streams && self.random.random_bool(0.5);
         let length = Duration::from_millis(self.random.random_range(20..400));
         let incarnation = self.nodes[node].incarnation;
         self.schedule(length, Event::EngineDone { node, incarnation, call, is_cut });
     }
 
-    /// An engine's stream ended, whole or cut.
-    pub(crate) fn engine_done(&mut self, node: usize, call: CallId, is_cut: bool) {
+    /// Handles the end of an engine's stream, complete or cut.
+    pub(crate) fn handle_engine_done(&mut self, node: usize, call: CallId, is_cut: bool) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         let Stage::Running { run, engine, owner } = task.stage.clone() else { return };
         let Some(request) = task.turn_request().cloned() else { return };
         let tokens = run.output_tokens.min(request.wanted_output);
-        let usage = Usage { prompt_tokens: 1, cached_tokens: 0, output_tokens: task.generated };
+        let usage = Usage { prompt_tokens: 1, cached_tokens: 0, output_tokens: task.generated_tokens };
         let finished = FinishedWork {
             usage,
             first_token: Duration::from_millis(10),
@@ -442,14 +445,14 @@
         let release = Release { call, finished: (!is_cut).then_some(finished), is_engine_fault: is_cut };
         self.send(node, owner, Packet::Release { engine, release });
         if is_cut {
-            // What the cut stream generated counts against the budget, so the next attempt gets the rest.
-            let mut rest = *run;
-            rest.output_tokens = rest.output_tokens.saturating_sub(tokens);
-            let is_used_up = rest.output_tokens == 0;
-            if let Some(task) = self.nodes[node].tasks.get_mut(&call).filter(|_| is_used_up) {
+            // Tokens of the cut stream count against the budget, so the next attempt gets what remains.
+            let mut remaining_run = *run;
+            remaining_run.output_tokens = remaining_run.output_tokens.saturating_sub(tokens);
+            let is_exhausted = remaining_run.output_tokens == 0;
+            if let Some(task) = self.nodes[node].tasks.get_mut(&call).filter(|_| is_exhausted) {
                 task.machine.forbid_resumption();
             }
-            self.next_attempt(node, call, rest, engine, Failure::Lost);
+            self.retry_or_fail(node, call, remaining_run, engine, Failure::Lost);
             return;
         }
         let message = engine_answer(&prompt(&run, &request));
@@ -464,24 +467,24 @@
             reason: String::new(),
         };
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
-            task.stage = Stage::Finishing { message };
+            task.stage = Stage::CommittingAnswer { message };
         }
-        self.start_command(node, call, Command::FinishTurn(Box::new(finish)), COMMIT_TIME);
+        self.start_command(node, call, Command::FinishTurn(Box::new(finish)), COMMIT_RETRY_TIME);
     }
 
     fn run_service(&mut self, node: usize, call: CallId) {
         let incarnation = self.nodes[node].incarnation;
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
             task.stage = Stage::RunningService;
-            task.machine.sent(&EngineId::new(SERVICE));
+            task.machine.sent(&EngineId::new(SERVICE_BACK_END));
         }
-        let is_hung = self.hangs_tools && self.random.random_bool(0.6);
-        let way = Duration::from_millis(self.random.random_range(1..30));
-        self.schedule(way, Event::ServiceRuns { node, incarnation, call, is_hung });
+        let is_hung = self.should_hang_services && self.random.random_bool(0.6);
+        let delay = Duration::from_millis(self.random.random_range(1..30));
+        self.schedule(delay, Event::ServiceRuns { node, incarnation, call, is_hung });
     }
 
-    /// The request reaches the service, whatever has become of its sender.
-    pub(crate) fn service_runs(
+    /// Runs a request that reached the service, also if its node is down or paused by now.
+    pub(crate) fn handle_service_request(
         &mut self,
         node: usize,
         incarnation: Incarnation,
@@ -490,40 +493,40 @@
     ) {
         let task = self.nodes[node].tasks.get(&call).filter(|_| self.nodes[node].incarnation == incarnation);
         let Some(CallerRequest::Service { key, .. }) = task.map(|task| task.request.clone()) else { return };
-        self.oracle.service_run(call, &key);
+        self.oracle.record_service_execution(call, &key);
         let wait = if is_hung { SERVICE_TIMEOUT } else { Duration::from_millis(20) };
         self.schedule(wait, Event::ServiceDone { node, incarnation, call, is_lost: is_hung });
     }
 
-    /// The service's answer arrives, or is given up.
-    pub(crate) fn service_done(&mut self, node: usize, call: CallId, is_lost: bool) {
+    /// Handles the service's answer, or its timeout if `is_lost`.
+    pub(crate) fn handle_service_done(&mut self, node: usize, call: CallId, is_lost: bool) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         let CallerRequest::Service { key, .. } = &task.request else { return };
         let Some(key) = ledger_key(key) else { return };
         if is_lost {
             let mut machine = task.machine.clone();
-            let next = machine.failed(&EngineId::new(SERVICE), Failure::Lost, self.now);
-            debug_assert!(matches!(next, Next::Fail { .. }), "a call that runs once is never tried again");
+            let next = machine.failed(&EngineId::new(SERVICE_BACK_END), Failure::Lost, self.now);
+            debug_assert!(matches!(next, Next::Fail { .. }), "a non-repeatable call is not retried");
             let problem = Problem::not_run(ResultCode::BackEndCut, "the service's answer is lost");
             let problem = problem.with_ran(machine.ran());
-            self.refuse(node, call, problem);
-            self.settle(node, task, Command::LoseService { key, call });
+            self.reject_call(node, call, problem);
+            self.commit_failure(node, task, Command::LoseService { key, call });
             return;
         }
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
-            task.stage = Stage::FinishingService;
+            task.stage = Stage::CommittingService;
         }
         let command = Command::FinishService { key, call, response: service_response() };
-        self.start_command(node, call, command, COMMIT_TIME);
+        self.start_command(node, call, command, COMMIT_RETRY_TIME);
     }
 
-    /// A program ended while its call was under way.
+    /// Cancels a running call because its program was ended.
     pub(crate) fn cancel_task(&mut self, node: usize, call: CallId) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         if let Stage::Running { engine, owner, .. } = task.stage {
             let release = Release { call, finished: None, is_engine_fault: false };
             self.send(node, owner, Packet::Release { engine, release });
-            self.refuse(node, call, Problem::unknown(ResultCode::Cancelled, "the program was ended"));
+            self.reject_call(node, call, Problem::unknown(ResultCode::Cancelled, "the program was ended"));
         }
     }
 }
@@ -553,12 +556,12 @@
             sub_agents: 0,
         },
         runner,
-        wait_until: now + TURN_WAIT,
+        wait_until: now + MAX_TURN_WAIT,
         run_limit: RUN_LIMIT,
     }
 }
 
-/// The prompt that goes to the engine: what was recorded, if the caller sent only what is new, and the new.
+/// The engine's prompt: in append mode the recorded messages followed by the new ones.
 fn prompt(run: &RunTurn, request: &TurnRequest) -> Vec<ChatMessage> {
     match request.mode {
         HistoryMode::Full => request.messages.clone(),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Deterministic simulation: the real state machines, emulated engines and callers, a virtual clock and faults.
+//! Deterministic simulation of a fleet under faults, on a virtual clock.
 //!
-//! Everything that happens follows from the seed. Nodes run the very code of the `shard`, `scheduling` and
-//! `config` crates; the network, the engines, the services, the platform and the callers are simple models. An
-//! oracle that knows only what callers sent, what ran and what was answered checks the brief's ten guarantees.
+//! A run depends only on its options. Nodes run the production code of the `shard`, `scheduling` and `config`
+//! crates; the network, engines, services, platform and callers are simple models. An oracle that sees only
+//! requests, executions and answers checks the guarantees.
 
 mod call_rules;
 mod caller;
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -1,4 +1,4 @@
-//! A simulated node: the real state machines and what a node keeps beside them.
+//! A simulated node: the production state machines and the node's own state around them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use crate::packet::SimConfiguration;
 use crate::task::Task;
 
-/// A node that was not heard of for this long is taken for dead.
-const DEAD_AFTER: Duration = Duration::from_millis(2500);
-/// Calls that an engine runs at a time.
+/// A peer without a heartbeat for this long counts as down.
+const PEER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Concurrent calls of an engine.
 const ENGINE_SLOTS: usize = 4;
-/// A granted call that is not released for this long is taken for lost; calls here end within seconds. With the
-/// default of ten minutes, slots whose release was lost stayed taken to the end of a run (seed 5859).
+/// A granted slot that is not released for this long expires. Simulated calls end within seconds; with the default
+/// of ten minutes, a slot whose release was lost would stay occupied to the end of the run.
 const GRANT_LEASE: Duration = Duration::from_secs(15);
 
-/// Who waits for the answer to a command or for a grant.
+/// The node and exchange to which the answer to a command or enqueued call goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Waiter {
     pub(crate) node: usize,
@@ -29,15 +29,14 @@
     pub(crate) exchange: u64,
 }
 
-/// What a node last heard of another.
+/// The latest heartbeat received from a peer.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Heard {
+pub(crate) struct PeerStatus {
     pub(crate) replica: ReplicaId,
-    pub(crate) at: Timestamp,
+    pub(crate) received_at: Timestamp,
     pub(crate) is_leaving: bool,
 }
 
-/// A simulated node.
 #[derive(Debug)]
 pub(crate) struct SimNode {
     pub(crate) index: usize,
@@ -46,16 +45,16 @@
     pub(crate) paused_until: Timestamp,
     pub(crate) is_stopping: bool,
     pub(crate) shard: Option<ProgramShard>,
-    pub(crate) waiting: BTreeMap<CallId, Waiter>,
+    pub(crate) command_waiters: BTreeMap<CallId, Waiter>,
     pub(crate) queues: BTreeMap<usize, EngineQueue>,
-    pub(crate) queue_waiting: BTreeMap<CallId, Waiter>,
-    pub(crate) in_force: InForce<SimConfiguration>,
-    pub(crate) heard: BTreeMap<usize, Heard>,
-    /// Lives that a later one has replaced.
-    replaced: BTreeSet<ReplicaId>,
+    pub(crate) queue_waiters: BTreeMap<CallId, Waiter>,
+    pub(crate) configuration: InForce<SimConfiguration>,
+    pub(crate) peers: BTreeMap<usize, PeerStatus>,
+    /// Earlier incarnations of peers.
+    superseded: BTreeSet<ReplicaId>,
     pub(crate) leader: Option<usize>,
     pub(crate) tasks: BTreeMap<CallId, Task>,
-    pub(crate) exchanges: BTreeMap<u64, CallId>,
+    pub(crate) pending_exchanges: BTreeMap<u64, CallId>,
 }
 
 impl SimNode {
@@ -67,15 +66,15 @@
             paused_until: Timestamp::default(),
             is_stopping: false,
             shard: None,
-            waiting: BTreeMap::new(),
+            command_waiters: BTreeMap::new(),
             queues: BTreeMap::new(),
-            queue_waiting: BTreeMap::new(),
-            in_force: InForce::default(),
-            heard: BTreeMap::new(),
-            replaced: BTreeSet::new(),
+            queue_waiters: BTreeMap::new(),
+            configuration: InForce::default(),
+            peers: BTreeMap::new(),
+            superseded: BTreeSet::new(),
             leader: None,
             tasks: BTreeMap::new(),
-            exchanges: BTreeMap::new(),
+            pending_exchanges: BTreeMap::new(),
         }
     }
 
@@ -91,36 +90,36 @@
         self.paused_until > now
     }
 
-    /// Others that were heard of lately.
-    pub(crate) fn live(&self, now: Timestamp) -> impl Iterator<Item = (&usize, &Heard)> {
-        self.heard.iter().filter(move |(_, heard)| now.since(heard.at) < DEAD_AFTER)
+    /// Peers that don't count as down.
+    pub(crate) fn live_peers(&self, now: Timestamp) -> impl Iterator<Item = (&usize, &PeerStatus)> {
+        self.peers.iter().filter(move |(_, status)| now.since(status.received_at) < PEER_TIMEOUT)
     }
 
-    /// The fleet as this node sees it.
     pub(crate) fn fleet_view(&self, now: Timestamp) -> FleetView {
-        let others = self.live(now).filter(|(_, heard)| !heard.is_leaving).map(|(_, heard)| heard.replica);
+        let others =
+            self.live_peers(now).filter(|(_, status)| !status.is_leaving).map(|(_, status)| status.replica);
         let own = (!self.is_stopping).then_some(self.replica());
         let usable = others.chain(own).filter_map(to_candidate).collect();
-        let leaving = self.heard.values().filter(|heard| heard.is_leaving).map(|heard| heard.replica);
-        FleetView { usable, departed: self.replaced.iter().copied().chain(leaving).collect() }
+        let leaving = self.peers.values().filter(|status| status.is_leaving).map(|status| status.replica);
+        FleetView { usable, departed: self.superseded.iter().copied().chain(leaving).collect() }
     }
 
-    /// Notes that another node was heard of.
-    pub(crate) fn hear(&mut self, from: usize, heard: Heard) {
-        let before = self.heard.get(&from).copied();
-        if before.is_some_and(|before| before.replica.incarnation > heard.replica.incarnation) {
+    /// Records a peer's heartbeat; one of an earlier incarnation is ignored.
+    pub(crate) fn record_heartbeat(&mut self, from: usize, status: PeerStatus) {
+        let before = self.peers.get(&from).copied();
+        if before.is_some_and(|before| before.replica.incarnation > status.replica.incarnation) {
             return;
         }
-        if let Some(before) = before.filter(|before| before.replica != heard.replica) {
-            self.replaced.insert(before.replica);
+        if let Some(before) = before.filter(|before| before.replica != status.replica) {
+            self.superseded.insert(before.replica);
         }
-        self.heard.insert(from, heard);
+        self.peers.insert(from, status);
     }
 
-    /// The node that owns an engine, as this node sees it.
-    pub(crate) fn owner_of(&self, engine: usize, now: Timestamp) -> usize {
+    /// The node that owns an engine's queue, as this node sees it.
+    pub(crate) fn engine_owner(&self, engine: usize, now: Timestamp) -> usize {
         let mut usable: Vec<usize> =
-            self.live(now).filter(|(_, heard)| !heard.is_leaving).map(|(index, _)| *index).collect();
+            self.live_peers(now).filter(|(_, status)| !status.is_leaving).map(|(index, _)| *index).collect();
         if !self.is_stopping {
             usable.push(self.index);
         }
@@ -128,9 +127,10 @@
         if usable.is_empty() { self.index } else { usable[engine % usable.len()] }
     }
 
-    /// The queue of an engine, which comes into being when it is first asked for.
-    pub(crate) fn queue(&mut self, engine: usize) -> &mut EngineQueue {
-        let is_leaving = self.in_force.current().is_some_and(|present| present.leaving.contains(&engine));
+    /// The queue of an engine, created on first use.
+    pub(crate) fn engine_queue(&mut self, engine: usize) -> &mut EngineQueue {
+        let is_leaving =
+            self.configuration.current().is_some_and(|current| current.leaving.contains(&engine));
         self.queues.entry(engine).or_insert_with(|| {
             let settings = QueueSettings {
                 max_running: ENGINE_SLOTS,
@@ -144,28 +144,24 @@
     }
 }
 
-/// The number of a simulated node as an id.
 pub(crate) fn node_id(index: usize) -> NodeId {
     NodeId(index as u32 + 1)
 }
 
-/// The simulated node of an id.
 pub(crate) fn node_index(node: NodeId) -> usize {
     node.0 as usize - 1
 }
 
-/// The name of a simulated engine.
 pub(crate) fn engine_name(engine: usize) -> EngineName {
     EngineName::new(&format!("engine-{engine}")).unwrap_or_else(|_| unreachable!("a valid name"))
 }
 
-/// The simulated engine of a name.
 pub(crate) fn engine_index(name: &EngineName) -> Option<usize> {
     name.as_str().strip_prefix("engine-")?.parse().ok()
 }
 
 fn to_candidate(replica: ReplicaId) -> Option<Candidate> {
-    // Every simulated node stands in a zone of its own.
+    // Each simulated node has a zone of its own.
     let zone = ZoneName::new(&format!("zone-{}", replica.node)).ok()?;
     Some(Candidate { replica, zone })
 }
--- a/crates/simulation/src/packet.rs
+++ b/crates/simulation/src/packet.rs
@@ -1,4 +1,6 @@
-//! What travels between simulated nodes.
+//! Messages between simulated nodes, and requests and answers between callers and gateways.
+//!
+//! The `Debug` text of these types is part of the trace hash.
 
 use sumacdrift_config::Versioned;
 use sumacdrift_program::{Command, Reply};
@@ -8,13 +10,13 @@
     CallId, ChatMessage, EngineName, Generation, HistoryMode, Problem, ProgramId, TurnNumber,
 };
 
-/// The configuration, as far as the simulation needs one.
+/// The subset of the configuration that the simulation uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SimConfiguration {
     pub(crate) generation: Generation,
-    /// Engines that are leaving, by number.
+    /// Indexes of the leaving engines.
     pub(crate) leaving: Vec<usize>,
-    /// Who rolled it out.
+    /// Number of the rollout that wrote it.
     pub(crate) rollout: u64,
 }
 
@@ -39,14 +41,13 @@
     Cancel { call: CallId },
 }
 
-/// The answer to a command.
 #[derive(Debug, Clone)]
 pub(crate) enum CommandAnswer {
     Reply(Reply),
+    /// With the presumed leader, if one is known.
     NotLeader(Option<usize>),
 }
 
-/// A request of a caller to a gateway.
 #[derive(Debug, Clone)]
 pub(crate) enum CallerRequest {
     Turn(TurnRequest),
@@ -54,7 +55,6 @@
     End { program: ProgramId },
 }
 
-/// A turn as a caller sends it.
 #[derive(Debug, Clone)]
 pub(crate) struct TurnRequest {
     pub(crate) program: ProgramId,
@@ -65,7 +65,6 @@
     pub(crate) wanted_output: u64,
 }
 
-/// What a gateway answers.
 #[derive(Debug, Clone)]
 pub(crate) enum CallerAnswer {
     Turn { message: ChatMessage },
--- a/crates/simulation/src/platform.rs
+++ b/crates/simulation/src/platform.rs
@@ -1,20 +1,18 @@
-//! The platform's object API and the operators who write to it.
+//! Model of the platform's object API, which holds the configuration.
 
 use sumacdrift_types::{Generation, Timestamp};
 
 use crate::packet::SimConfiguration;
 
-/// The object that holds the configuration.
 #[derive(Debug)]
 pub(crate) struct Platform {
     pub(crate) configuration: SimConfiguration,
     pub(crate) is_down: bool,
-    pub(crate) loses_answers: bool,
-    /// When the present configuration was accepted.
+    pub(crate) should_lose_answers: bool,
     pub(crate) accepted_at: Timestamp,
 }
 
-/// What an operator sees of a write.
+/// The outcome of a write, as the operator sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
     Accepted,
@@ -26,10 +24,10 @@
 impl Platform {
     pub(crate) fn new() -> Self {
         let configuration = SimConfiguration { generation: Generation(1), leaving: Vec::new(), rollout: 0 };
-        Self { configuration, is_down: false, loses_answers: false, accepted_at: Timestamp::default() }
+        Self { configuration, is_down: false, should_lose_answers: false, accepted_at: Timestamp::default() }
     }
 
-    /// Compare-and-set on the generation.
+    /// Writes a configuration if the stored generation is the expected one.
     pub(crate) fn write(
         &mut self,
         expected: Generation,
@@ -44,11 +42,11 @@
         }
         self.configuration = configuration;
         self.accepted_at = now;
-        if self.loses_answers { WriteOutcome::Unanswered } else { WriteOutcome::Accepted }
+        if self.should_lose_answers { WriteOutcome::Unanswered } else { WriteOutcome::Accepted }
     }
 
-    /// Reads back whether a rollout took effect, as an operator does whose answer was lost.
-    pub(crate) fn read_back(&self, rollout: u64) -> Option<bool> {
+    /// Whether the stored configuration is of this rollout; `None` while the platform is down.
+    pub(crate) fn is_rollout_stored(&self, rollout: u64) -> Option<bool> {
         (!self.is_down).then_some(self.configuration.rollout == rollout)
     }
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,40 +1,38 @@
-//! The report of a run. It holds no wall-clock time, so the same seed gives the same bytes on any machine.
+//! The report of a run. It contains no wall-clock time, so a seed gives the same bytes on any machine.
 
 use serde::Serialize;
 use sumacdrift_guarantees::GuaranteeResult;
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+#[allow(missing_docs)]
 pub struct SimulationReport {
-    /// Seed.
     pub seed: u64,
-    /// Faults that took place, in order.
+    /// Injected faults, in order.
     pub faults: Vec<String>,
-    /// Programs started.
     pub programs: usize,
-    /// Programs and service calls that did not come to their end although all faults were over.
+    /// Callers, of programs and of services, that were not done at the end of the run.
     pub unfinished: usize,
-    /// Turns answered.
+    /// Answered turns and service calls.
     pub turns: u64,
-    /// Longest time, in microseconds, for which no leader could answer, by shard group.
+    /// Longest time without a serving leader.
     pub longest_without_leader_micros: u64,
-    /// The replicas as they stood at the end, in words.
+    /// Final state of each node's replica, as text.
     pub replicas: Vec<String>,
-    /// Events processed.
+    /// Number of processed events.
     pub events: u64,
-    /// The guarantees.
     pub guarantees: Vec<GuaranteeResult>,
-    /// Digest over all events in order.
+    /// Digest of all processed events, in order.
     pub trace_hash: String,
 }
 
 impl SimulationReport {
-    /// Whether nothing was violated and everything came to its end.
+    /// Whether no guarantee was violated and every caller finished.
     pub fn is_clean(&self) -> bool {
         self.unfinished == 0 && self.guarantees.iter().all(|guarantee| guarantee.violated == 0)
     }
 
-    /// The violated guarantees' names.
+    /// Names of the violated guarantees.
     pub fn violated(&self) -> Vec<&str> {
         let violated = self.guarantees.iter().filter(|guarantee| guarantee.violated > 0);
         violated.map(|guarantee| guarantee.name.as_str()).collect()
--- a/crates/simulation/src/task.rs
+++ b/crates/simulation/src/task.rs
@@ -1,4 +1,4 @@
-//! A call that a simulated node runs: the steps that the node's call runners take, as a state machine.
+//! State of a call on a simulated node.
 
 use sumacdrift_calls::CallMachine;
 use sumacdrift_program::{Command, LedgerKey, RunTurn};
@@ -6,49 +6,55 @@
 
 use crate::packet::{CallerRequest, TurnRequest};
 
-/// A call under way on a node.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub(crate) call: CallId,
-    /// Which caller's which attempt it answers.
+    /// Index of the caller.
     pub(crate) caller: usize,
     pub(crate) request: CallerRequest,
     pub(crate) stage: Stage,
-    /// The exchange that is waited for.
+    /// The exchange whose answer is awaited; answers to others are ignored.
     pub(crate) exchange: u64,
-    /// The command that is being sent, for sending it again.
+    /// The command in flight, kept for retries.
     pub(crate) command: Option<Command>,
-    /// Which node is asked next where the leader is not known.
-    pub(crate) next_target: usize,
-    /// When sending the present command is given up.
-    pub(crate) give_up: Timestamp,
-    /// What becomes of the call where a back end fails it.
+    /// Position of the next node to ask while the leader is unknown.
+    pub(crate) target_index: usize,
+    /// When retries of the command stop.
+    pub(crate) retry_deadline: Timestamp,
+    /// Decides whether a failed call is retried.
     pub(crate) machine: CallMachine,
-    /// Tokens that engines generated for it so far.
-    pub(crate) generated: u64,
-    /// Engines that may hold memory.
+    /// Output tokens of all attempts.
+    pub(crate) generated_tokens: u64,
+    /// Engines that may hold memory for the program.
     pub(crate) engines: Vec<usize>,
 }
 
-/// Where a call stands.
 #[derive(Debug, Clone)]
 pub(crate) enum Stage {
-    /// Waits for admission.
-    Beginning,
-    /// Waits for an engine's grant.
-    Queueing { run: Box<RunTurn>, engine: usize, owner: usize },
-    /// Runs on an engine.
-    Running { run: Box<RunTurn>, engine: usize, owner: usize },
-    /// Waits for the commit of an answer.
-    Finishing { message: ChatMessage },
-    /// Runs at a service.
+    /// Waits for admission by the shard's leader.
+    AwaitingAdmission,
+    /// Waits for a slot of an engine.
+    Queued {
+        run: Box<RunTurn>,
+        engine: usize,
+        owner: usize,
+    },
+    Running {
+        run: Box<RunTurn>,
+        engine: usize,
+        owner: usize,
+    },
+    /// Waits for the commit of the answer.
+    CommittingAnswer {
+        message: ChatMessage,
+    },
     RunningService,
-    /// Waits for the ledger to take the response.
-    FinishingService,
-    /// Waits until the end of a failed call is recorded.
-    Abandoning,
-    /// Waits for a program's end.
-    Ending,
+    /// Waits for the commit of the response to the ledger.
+    CommittingService,
+    /// Waits for the commit of a failure; the caller was answered already.
+    CommittingFailure,
+    /// Waits for the commit of the program's end.
+    EndingProgram,
 }
 
 impl Task {
@@ -59,13 +65,12 @@
         }
     }
 
-    /// The turn that the request is about; 0 for others.
+    /// The requested turn; 0 for other requests.
     pub(crate) fn turn(&self) -> u32 {
         self.turn_request().map_or(0, |request| request.turn.0)
     }
 }
 
-/// The ledger's key of a service call.
 pub(crate) fn ledger_key(key: &str) -> Option<LedgerKey> {
     Some(LedgerKey {
         tenant: sumacdrift_types::TenantName::new("tenant").ok()?,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,8 +1,8 @@
-//! The simulated world: events in order of time, and what each of them does.
+//! The simulation: an event queue in order of virtual time, and the handlers of the events.
 
 mod callers;
 mod checks;
-mod disturbances;
+mod fault_injection;
 mod shards;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,47 +27,41 @@
 use crate::platform::{Platform, WriteOutcome};
 use crate::report::SimulationReport;
 
-/// Nodes of a simulated fleet, each in a zone of its own.
+/// Number of nodes, each in a zone of its own.
 const NODES: usize = 4;
-/// Replicas of the shard.
+/// Number of replicas of the single shard.
 const REPLICAS: usize = 3;
-/// Engines of a simulated fleet.
 pub(crate) const ENGINES: usize = 3;
-/// How often nodes are given the time.
-const TICK: Duration = Duration::from_millis(40);
-/// How often nodes tell each other that they are there.
-const HEARTBEAT: Duration = Duration::from_millis(400);
-/// How often engine memory is compared with the programs there are.
-const MEMORY_CHECK: Duration = Duration::from_secs(4);
-/// How often watchers look at the platform.
-const PLATFORM_POLL: Duration = Duration::from_millis(500);
-/// Time between two rollouts.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+const MEMORY_CHECK_INTERVAL: Duration = Duration::from_secs(4);
+const PLATFORM_POLL_INTERVAL: Duration = Duration::from_millis(500);
 const ROLLOUT_INTERVAL: Duration = Duration::from_secs(5);
-/// Programs begin within this time.
-const ARRIVALS: Duration = Duration::from_secs(14);
-/// Faults begin within this time.
-const FAULT_TIME: Duration = Duration::from_secs(16);
-/// All faults are over at this time.
+/// Callers start within this time.
+const ARRIVAL_WINDOW: Duration = Duration::from_secs(14);
+/// Faults start within this time.
+const FAULT_WINDOW: Duration = Duration::from_secs(16);
+/// When all faults that still last are ended.
 const HEAL_AT: Duration = Duration::from_secs(24);
-/// A run ends at this time at the latest.
+/// Latest end of a run.
 const END_AT: Duration = Duration::from_secs(90);
-/// A run of more events than this is stuck in a loop; its callers show as unfinished.
+/// Stops a run that livelocks; its callers are reported as unfinished.
 const MAX_EVENTS: u64 = 400_000;
-/// After a disturbance news may take this long.
-const NEWS_GRACE: Duration = Duration::from_secs(4);
+/// Time that an update may need to reach all nodes after a fault.
+const PROPAGATION_GRACE: Duration = Duration::from_secs(4);
 
-/// What to simulate.
+/// Options of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct SimulationOptions {
-    /// Seed.
     pub seed: u64,
-    /// Programs; a third as many service calls come beside them.
+    /// Number of programs; a third as many service callers run beside them.
     pub programs: usize,
-    /// Kinds of fault, each of which takes place once or twice.
+    /// Kinds of fault, each injected once or twice.
     pub faults: Vec<FaultKind>,
 }
 
-/// Something that happens.
+/// A scheduled event. Its `Debug` text is part of the trace hash.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
     Deliver { to: usize, incarnation: Option<Incarnation>, from: usize, packet: Box<Packet> },
@@ -90,7 +84,6 @@
     Heal,
 }
 
-/// The simulated world.
 pub(crate) struct World {
     pub(crate) now: Timestamp,
     pub(crate) random: ChaCha8Rng,
@@ -101,28 +94,28 @@
     pub(crate) platform: Platform,
     pub(crate) callers: Vec<Caller>,
     pub(crate) oracle: Oracle,
-    /// Programs that engines hold memory for.
-    pub(crate) memory: Vec<BTreeSet<ProgramId>>,
-    pub(crate) hangs_tools: bool,
-    pub(crate) cuts_streams: bool,
+    /// Programs that each engine holds memory for.
+    pub(crate) engine_memory: Vec<BTreeSet<ProgramId>>,
+    pub(crate) should_hang_services: bool,
+    pub(crate) should_cut_streams: bool,
     next_incarnation: u64,
     pub(crate) next_exchange: u64,
     rollouts: u64,
     faults: Vec<String>,
-    races_operators: bool,
-    /// Until when nodes may be excused for not having heard news.
-    disturbed_until: Timestamp,
+    should_race_operators: bool,
+    /// Until when nodes may lag behind the configuration because of a fault.
+    lag_tolerated_until: Timestamp,
     generations_seen: BTreeMap<(usize, Incarnation), Generation>,
-    stop_watch: BTreeMap<CallId, usize>,
-    last_served: Timestamp,
-    /// When the last caller came to its end.
-    settled: Timestamp,
+    calls_at_planned_stop: BTreeMap<CallId, usize>,
+    last_served_at: Timestamp,
+    /// Latest time at which a caller was unfinished or faults were possible.
+    settled_at: Timestamp,
     longest_without_leader: Duration,
     trace: blake3::Hasher,
-    processed: u64,
+    processed_events: u64,
 }
 
-/// Runs one simulation to its end.
+/// Runs a simulation to its end.
 pub fn simulate(options: &SimulationOptions) -> SimulationReport {
     let mut world = World::new(options);
     world.run();
@@ -141,27 +134,27 @@
             platform: Platform::new(),
             callers: Vec::new(),
             oracle: Oracle::default(),
-            memory: vec![BTreeSet::new(); ENGINES],
-            hangs_tools: false,
-            cuts_streams: false,
+            engine_memory: vec![BTreeSet::new(); ENGINES],
+            should_hang_services: false,
+            should_cut_streams: false,
             next_incarnation: 1,
             next_exchange: 1,
             rollouts: 0,
             faults: Vec::new(),
-            races_operators: false,
-            disturbed_until: Timestamp::default(),
+            should_race_operators: false,
+            lag_tolerated_until: Timestamp::default(),
             generations_seen: BTreeMap::new(),
-            stop_watch: BTreeMap::new(),
-            last_served: Timestamp::default(),
-            settled: Timestamp::default(),
+            calls_at_planned_stop: BTreeMap::new(),
+            last_served_at: Timestamp::default(),
+            settled_at: Timestamp::default(),
             longest_without_leader: Duration::ZERO,
             trace: blake3::Hasher::new(),
-            processed: 0,
+            processed_events: 0,
         };
         world.start_nodes();
         world.plan_callers(options.programs);
         world.plan_faults(&options.faults);
-        world.schedule(MEMORY_CHECK, Event::MemoryCheck);
+        world.schedule(MEMORY_CHECK_INTERVAL, Event::MemoryCheck);
         world.schedule(ROLLOUT_INTERVAL, Event::Rollout);
         world.schedule(HEAL_AT, Event::Heal);
         world
@@ -201,7 +194,7 @@
     fn plan_faults(&mut self, kinds: &[FaultKind]) {
         for kind in kinds {
             for _ in 0..self.random.random_range(1..=2) {
-                let start = self.random.random_range(1_500..FAULT_TIME.as_millis() as u64);
+                let start = self.random.random_range(1_500..FAULT_WINDOW.as_millis() as u64);
                 self.schedule(Duration::from_millis(start), Event::FaultBegins(*kind));
             }
         }
@@ -216,16 +209,16 @@
     fn run(&mut self) {
         let end = Timestamp(1_000_000) + END_AT;
         while let Some(((at, _), event)) = self.events.pop_first() {
-            if at > end || self.processed > MAX_EVENTS {
+            if at > end || self.processed_events > MAX_EVENTS {
                 return;
             }
             self.now = at;
             let is_settled = self.callers.iter().all(|caller| caller.is_done);
             if !is_settled || at < Timestamp(1_000_000) + HEAL_AT {
-                self.settled = at;
+                self.settled_at = at;
             }
-            // Memory of the last programs is looked after twice more.
-            if at > self.settled + MEMORY_CHECK * 2 {
+            // Two more memory checks cover the last programs.
+            if at > self.settled_at + MEMORY_CHECK_INTERVAL * 2 {
                 return;
             }
             self.process(event);
@@ -233,7 +226,7 @@
     }
 
     fn process(&mut self, event: Event) {
-        self.processed += 1;
+        self.processed_events += 1;
         self.trace.update(&self.now.0.to_le_bytes());
         self.trace.update(format!("{event:?}").as_bytes());
         match event {
@@ -241,75 +234,75 @@
                 self.deliver(to, incarnation, from, packet);
             }
             Event::Tick { node, incarnation } => {
-                if self.is_running(node, incarnation, &Event::Tick { node, incarnation }) {
+                if self.should_process(node, incarnation, &Event::Tick { node, incarnation }) {
                     self.tick(node);
-                    self.schedule(TICK, Event::Tick { node, incarnation });
+                    self.schedule(TICK_INTERVAL, Event::Tick { node, incarnation });
                 }
             }
             Event::Heartbeat { node, incarnation } => {
-                if self.is_running(node, incarnation, &Event::Heartbeat { node, incarnation }) {
-                    self.heartbeat(node);
-                    self.schedule(HEARTBEAT, Event::Heartbeat { node, incarnation });
+                if self.should_process(node, incarnation, &Event::Heartbeat { node, incarnation }) {
+                    self.send_heartbeats(node);
+                    self.schedule(HEARTBEAT_INTERVAL, Event::Heartbeat { node, incarnation });
                 }
             }
             Event::PlatformPoll { node, incarnation } => {
-                if self.is_running(node, incarnation, &Event::PlatformPoll { node, incarnation }) {
+                if self.should_process(node, incarnation, &Event::PlatformPoll { node, incarnation }) {
                     self.poll_platform(node);
-                    self.schedule(PLATFORM_POLL, Event::PlatformPoll { node, incarnation });
+                    self.schedule(PLATFORM_POLL_INTERVAL, Event::PlatformPoll { node, incarnation });
                 }
             }
             Event::TaskTimer { node, incarnation, call, exchange } => {
-                let again = Event::TaskTimer { node, incarnation, call, exchange };
-                if self.is_running(node, incarnation, &again) {
-                    self.task_timer(node, call, exchange);
+                let deferred = Event::TaskTimer { node, incarnation, call, exchange };
+                if self.should_process(node, incarnation, &deferred) {
+                    self.handle_task_timeout(node, call, exchange);
                 }
             }
             Event::TaskRetry { node, incarnation, call, exchange } => {
-                let again = Event::TaskRetry { node, incarnation, call, exchange };
-                if self.is_running(node, incarnation, &again) {
-                    self.task_retry(node, call, exchange);
+                let deferred = Event::TaskRetry { node, incarnation, call, exchange };
+                if self.should_process(node, incarnation, &deferred) {
+                    self.handle_task_retry(node, call, exchange);
                 }
             }
             Event::EngineDone { node, incarnation, call, is_cut } => {
-                let again = Event::EngineDone { node, incarnation, call, is_cut };
-                if self.is_running(node, incarnation, &again) {
-                    self.engine_done(node, call, is_cut);
+                let deferred = Event::EngineDone { node, incarnation, call, is_cut };
+                if self.should_process(node, incarnation, &deferred) {
+                    self.handle_engine_done(node, call, is_cut);
                 }
             }
             Event::ServiceRuns { node, incarnation, call, is_hung } => {
-                self.service_runs(node, incarnation, call, is_hung);
+                self.handle_service_request(node, incarnation, call, is_hung);
             }
             Event::ServiceDone { node, incarnation, call, is_lost } => {
-                let again = Event::ServiceDone { node, incarnation, call, is_lost };
-                if self.is_running(node, incarnation, &again) {
-                    self.service_done(node, call, is_lost);
+                let deferred = Event::ServiceDone { node, incarnation, call, is_lost };
+                if self.should_process(node, incarnation, &deferred) {
+                    self.handle_service_done(node, call, is_lost);
                 }
             }
-            Event::CallerSends { caller } => self.caller_sends(caller),
+            Event::CallerSends { caller } => self.send_caller_request(caller),
             Event::CallerTimer { caller, attempt } => {
-                let one = &self.callers[caller];
-                if !one.is_done && one.attempt == attempt {
-                    self.caller_sends(caller);
+                let state = &self.callers[caller];
+                if !state.is_done && state.attempt == attempt {
+                    self.send_caller_request(caller);
                 }
             }
-            Event::CallerGets { caller, turn, answer } => self.caller_gets(caller, turn, &answer),
-            Event::MemoryCheck => self.memory_check(),
-            Event::Rollout => self.rollout(),
-            Event::FaultBegins(kind) => self.fault_begins(kind),
-            Event::FaultEnds(kind, node) => self.fault_ends(kind, node),
+            Event::CallerGets { caller, turn, answer } => self.receive_caller_answer(caller, turn, &answer),
+            Event::MemoryCheck => self.check_engine_memory(),
+            Event::Rollout => self.run_rollout(),
+            Event::FaultBegins(kind) => self.begin_fault(kind),
+            Event::FaultEnds(kind, node) => self.end_fault(kind, node),
             Event::Restart(node) => self.restart(node),
             Event::Heal => self.heal(),
         }
     }
 
-    /// Whether an event of a node can take place; of a paused node it is put off to the pause's end.
-    fn is_running(&mut self, node: usize, incarnation: Incarnation, event: &Event) -> bool {
-        let one = &self.nodes[node];
-        if !one.is_up || one.incarnation != incarnation {
+    /// Whether a node's event is to be processed now. An event of a paused node is rescheduled to the end of the pause.
+    fn should_process(&mut self, node: usize, incarnation: Incarnation, event: &Event) -> bool {
+        let sim_node = &self.nodes[node];
+        if !sim_node.is_up || sim_node.incarnation != incarnation {
             return false;
         }
-        if one.is_paused(self.now) {
-            let wait = one.paused_until.since(self.now);
+        if sim_node.is_paused(self.now) {
+            let wait = sim_node.paused_until.since(self.now);
             self.schedule(wait, event.clone());
             return false;
         }
@@ -317,41 +310,48 @@
     }
 
     pub(crate) fn send(&mut self, from: usize, to: usize, packet: Packet) {
-        for arrival in self.network.arrivals(from, to, &mut self.random) {
+        for latency in self.network.latencies(from, to, &mut self.random) {
             let packet = Box::new(packet.clone());
-            self.schedule(arrival, Event::Deliver { to, incarnation: None, from, packet });
+            self.schedule(latency, Event::Deliver { to, incarnation: None, from, packet });
         }
     }
 
     fn deliver(&mut self, to: usize, incarnation: Option<Incarnation>, from: usize, packet: Box<Packet>) {
-        let present = self.nodes[to].incarnation;
-        let meant = incarnation.unwrap_or(present);
-        let again = Event::Deliver { to, incarnation: Some(meant), from, packet: packet.clone() };
-        if !self.is_running(to, meant, &again) {
+        let current = self.nodes[to].incarnation;
+        let target_incarnation = incarnation.unwrap_or(current);
+        let deferred =
+            Event::Deliver { to, incarnation: Some(target_incarnation), from, packet: packet.clone() };
+        if !self.should_process(to, target_incarnation, &deferred) {
             return;
         }
         match *packet {
-            Packet::Group { from, to: replica, message } => self.receive_group(to, from, replica, message),
+            Packet::Group { from, to: replica, message } => {
+                self.receive_replication_message(to, from, replica, message)
+            }
             Packet::Command { exchange, command } => self.receive_command(to, from, exchange, command),
-            Packet::CommandAnswer { exchange, answer } => self.command_answered(to, from, exchange, answer),
-            Packet::Enqueue { exchange, engine, work } => self.enqueue(to, from, exchange, engine, *work),
-            Packet::EnqueueAnswer { exchange, outcome } => self.enqueue_answered(to, exchange, outcome),
+            Packet::CommandAnswer { exchange, answer } => {
+                self.handle_command_answer(to, from, exchange, answer)
+            }
+            Packet::Enqueue { exchange, engine, work } => {
+                self.handle_enqueue(to, from, exchange, engine, *work)
+            }
+            Packet::EnqueueAnswer { exchange, outcome } => self.handle_enqueue_answer(to, exchange, outcome),
             Packet::Release { engine, release } => {
                 let now = self.now;
-                let effects = self.nodes[to].queue(engine).release(release, now);
-                self.queue_effects(to, effects);
+                let effects = self.nodes[to].engine_queue(engine).release(release, now);
+                self.apply_queue_effects(to, effects);
             }
-            Packet::Forget { engine, call } => self.forget_queued(to, engine, call),
+            Packet::Forget { engine, call } => self.withdraw_queued(to, engine, call),
             Packet::FreeProgram { engine, program } => {
                 if let Some(engine) = engine_index(&engine) {
-                    self.memory[engine].remove(&program);
+                    self.engine_memory[engine].remove(&program);
                 }
             }
             Packet::Heartbeat { replica, is_leaving, configuration } => {
-                let heard = crate::node::Heard { replica, at: self.now, is_leaving };
-                self.nodes[to].hear(from, heard);
+                let status = crate::node::PeerStatus { replica, received_at: self.now, is_leaving };
+                self.nodes[to].record_heartbeat(from, status);
                 if let Some(configuration) = configuration {
-                    self.offer(to, configuration);
+                    self.apply_configuration(to, configuration);
                 }
             }
             Packet::Cancel { call } => self.cancel_task(to, call),
@@ -360,16 +360,16 @@
 
     fn tick(&mut self, node: usize) {
         let now = self.now;
-        let one = &mut self.nodes[node];
-        let fleet = one.fleet_view(now);
+        let sim_node = &mut self.nodes[node];
+        let fleet = sim_node.fleet_view(now);
         let alive: BTreeSet<ReplicaId> =
-            one.live(now).map(|(_, heard)| heard.replica).chain([one.replica()]).collect();
-        if let Some(shard) = one.shard.as_mut() {
+            sim_node.live_peers(now).map(|(_, status)| status.replica).chain([sim_node.replica()]).collect();
+        if let Some(shard) = sim_node.shard.as_mut() {
             let is_alive = |runner: sumacdrift_program::Runner| {
                 alive.contains(&ReplicaId { node: runner.node, incarnation: runner.incarnation })
             };
             shard.tick(now, &is_alive);
-            if !one.is_stopping {
+            if !sim_node.is_stopping {
                 shard.repair(&fleet, now);
             } else {
                 let stays =
@@ -377,38 +377,38 @@
                 shard.transfer_leadership(&stays, now);
             }
             if shard.is_removed() {
-                one.shard = None;
-                one.waiting.clear();
+                sim_node.shard = None;
+                sim_node.command_waiters.clear();
             }
         }
-        self.shard_outputs(node);
+        self.process_shard_outputs(node);
         let engines: Vec<usize> = self.nodes[node].queues.keys().copied().collect();
         for engine in engines {
-            let effects = self.nodes[node].queue(engine).tick(now);
-            self.queue_effects(node, effects);
+            let effects = self.nodes[node].engine_queue(engine).tick(now);
+            self.apply_queue_effects(node, effects);
         }
-        self.note_leadership(node);
+        self.record_leadership(node);
         self.try_exit(node);
     }
 
-    fn note_leadership(&mut self, node: usize) {
+    fn record_leadership(&mut self, node: usize) {
         let now = self.now;
         let is_serving = self.nodes[node].shard.as_ref().is_some_and(|shard| shard.is_serving(now));
         if is_serving {
-            if self.last_served > Timestamp::default() {
-                let gap = now.since(self.last_served);
+            if self.last_served_at > Timestamp::default() {
+                let gap = now.since(self.last_served_at);
                 self.longest_without_leader = self.longest_without_leader.max(gap);
             }
-            self.last_served = now;
+            self.last_served_at = now;
         }
     }
 
-    fn heartbeat(&mut self, node: usize) {
-        let one = &self.nodes[node];
+    fn send_heartbeats(&mut self, node: usize) {
+        let sim_node = &self.nodes[node];
         let packet = Packet::Heartbeat {
-            replica: one.replica(),
-            is_leaving: one.is_stopping,
-            configuration: one.in_force.current().cloned(),
+            replica: sim_node.replica(),
+            is_leaving: sim_node.is_stopping,
+            configuration: sim_node.configuration.current().cloned(),
         };
         for other in (0..NODES).filter(|other| *other != node) {
             self.send(node, other, packet.clone());
@@ -419,34 +419,34 @@
     fn poll_platform(&mut self, node: usize) {
         if !self.platform.is_down {
             let configuration = self.platform.configuration.clone();
-            // Two watchers; the others hear from them.
+            // Two nodes watch the platform; the others get its changes by heartbeats.
             if node < 2 {
-                self.offer(node, configuration);
+                self.apply_configuration(node, configuration);
             }
         }
     }
 
-    fn offer(&mut self, node: usize, configuration: SimConfiguration) {
+    fn apply_configuration(&mut self, node: usize, configuration: SimConfiguration) {
         let leaving = configuration.leaving.clone();
-        if !self.nodes[node].in_force.offer(configuration) {
+        if !self.nodes[node].configuration.offer(configuration) {
             return;
         }
         let engines: Vec<usize> = self.nodes[node].queues.keys().copied().collect();
         for engine in engines {
-            let effects = self.nodes[node].queue(engine).set_leaving(leaving.contains(&engine));
-            self.queue_effects(node, effects);
+            let effects = self.nodes[node].engine_queue(engine).set_leaving(leaving.contains(&engine));
+            self.apply_queue_effects(node, effects);
         }
-        // News goes out at once, not only with the next heartbeat.
+        // A new configuration is sent at once, not only with the next heartbeat.
         if !is_broken(Rule::GenerationsOnlyRise) {
-            self.heartbeat(node);
+            self.send_heartbeats(node);
         }
     }
 
-    /// Operators change which engine is leaving, one after the other or at the same time.
-    fn rollout(&mut self) {
+    /// Changes the set of leaving engines, by one operator or by two that race.
+    fn run_rollout(&mut self) {
         self.schedule(ROLLOUT_INTERVAL, Event::Rollout);
         let expected = self.platform.configuration.generation;
-        let operators = if self.races_operators { 2 } else { 1 };
+        let operators = if self.should_race_operators { 2 } else { 1 };
         let mut winners = 0;
         for _ in 0..operators {
             self.rollouts += 1;
@@ -456,24 +456,24 @@
             let generation = Generation(expected.0 + 1);
             let configuration = SimConfiguration { generation, leaving: leaving.clone(), rollout };
             let outcome = self.platform.write(expected, configuration, self.now);
-            let has_won = match outcome {
+            let is_stored = match outcome {
                 WriteOutcome::Accepted => true,
                 WriteOutcome::Conflict => false,
-                WriteOutcome::Unanswered => self.platform.read_back(rollout).unwrap_or(false),
+                WriteOutcome::Unanswered => self.platform.is_rollout_stored(rollout).unwrap_or(false),
             };
-            winners += u32::from(has_won);
-            if has_won {
+            winners += u32::from(is_stored);
+            if is_stored {
                 self.oracle.set_leaving(&leaving, self.now);
             }
         }
         self.oracle.check(Guarantee::ConfigurationInForce, winners <= 1, || {
-            format!("{winners} operators won the same generation")
+            format!("{winners} operators wrote the same generation")
         });
     }
 
-    /// Whether a node that sends to a leaving engine may be excused for not having heard.
-    pub(crate) fn is_disturbed(&self) -> bool {
-        self.now < self.disturbed_until
+    /// Whether nodes may lag behind the configuration because of a fault.
+    pub(crate) fn is_lag_tolerated(&self) -> bool {
+        self.now < self.lag_tolerated_until
     }
 
     fn finish(mut self, options: &SimulationOptions) -> SimulationReport {
@@ -488,14 +488,14 @@
             turns,
             longest_without_leader_micros: self.longest_without_leader.as_micros() as u64,
             replicas: self.nodes.iter().map(checks::describe_replica).collect(),
-            events: self.processed,
+            events: self.processed_events,
             guarantees: self.oracle.tallies.results(),
             trace_hash: self.trace.finalize().to_hex().to_string(),
         }
     }
 
-    /// Nodes to ask for the leader, in a fixed order for each node.
-    pub(crate) fn next_target(&mut self, node: usize, tried: usize) -> usize {
+    /// The node to send a command to: the known leader, or else the next in an order that is fixed for each node.
+    pub(crate) fn choose_target(&mut self, node: usize, tried: usize) -> usize {
         if let Some(leader) = self.nodes[node].leader {
             return leader;
         }
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the simulated world that look at everything at once.
+//! Checks across all nodes and engines.
 
 use std::collections::BTreeSet;
 
@@ -9,25 +9,25 @@
 use sumacdrift_shard::ShardOutput;
 use sumacdrift_types::{CallId, Generation, ProgramId};
 
-use super::{ENGINES, Event, MEMORY_CHECK, NEWS_GRACE, NODES, World};
-use crate::caller::Plan;
+use super::{ENGINES, Event, MEMORY_CHECK_INTERVAL, NODES, PROPAGATION_GRACE, World};
+use crate::caller::CallerPlan;
 use crate::node::SimNode;
 
 impl World {
-    /// Compares what engines hold with the programs that the leader knows.
-    pub(super) fn memory_check(&mut self) {
-        self.schedule(MEMORY_CHECK, Event::MemoryCheck);
+    /// Frees engine memory of programs that are unknown to the leader or ended.
+    pub(super) fn check_engine_memory(&mut self) {
+        self.schedule(MEMORY_CHECK_INTERVAL, Event::MemoryCheck);
         let now = self.now;
         let leader = (0..NODES).find(|node| {
-            let one = &self.nodes[*node];
-            let is_able = one.is_up && !one.is_paused(now);
-            is_able && one.shard.as_ref().is_some_and(|shard| shard.is_serving(now))
+            let sim_node = &self.nodes[*node];
+            let is_active = sim_node.is_up && !sim_node.is_paused(now);
+            is_active && sim_node.shard.as_ref().is_some_and(|shard| shard.is_serving(now))
         });
         let Some(leader) = leader else { return };
         for engine in 0..ENGINES {
-            let programs: Vec<ProgramId> = self.memory[engine].iter().cloned().collect();
+            let programs: Vec<ProgramId> = self.engine_memory[engine].iter().cloned().collect();
             let call = CallId(self.random.random());
-            self.nodes[leader].waiting.remove(&call);
+            self.nodes[leader].command_waiters.remove(&call);
             let Some(shard) = self.nodes[leader].shard.as_mut() else { return };
             if shard.command(Command::ListGone { call, programs }, now).is_err() {
                 return;
@@ -36,26 +36,26 @@
                 match output {
                     ShardOutput::Reply { reply: Reply::Gone(gone), .. } => {
                         for program in gone {
-                            self.memory[engine].remove(&program);
+                            self.engine_memory[engine].remove(&program);
                         }
                     }
-                    other => self.shard_output(leader, other),
+                    other => self.process_shard_output(leader, other),
                 }
             }
         }
     }
 
     pub(super) fn check_generation(&mut self, node: usize) {
-        let one = &self.nodes[node];
-        let generation = one.in_force.generation();
-        let key = (node, one.incarnation);
+        let sim_node = &self.nodes[node];
+        let generation = sim_node.configuration.generation();
+        let key = (node, sim_node.incarnation);
         let before = self.generations_seen.insert(key, generation).unwrap_or_default();
         self.oracle.check(Guarantee::ConfigurationInForce, generation >= before, || {
-            format!("node {node} went from generation {before} to {generation}")
+            format!("node {node} reverted from generation {before} to {generation}")
         });
         let since = self.now.since(self.platform.accepted_at);
         let accepted = self.platform.configuration.generation;
-        if since > NEWS_GRACE && self.now > self.disturbed_until && generation > Generation(0) {
+        if since > PROPAGATION_GRACE && self.now > self.lag_tolerated_until && generation > Generation(0) {
             self.oracle.check(Guarantee::ConfigurationInForce, generation >= accepted, || {
                 format!("node {node} has generation {generation}, {accepted} was accepted {since:?} ago")
             });
@@ -64,24 +64,26 @@
 
     pub(super) fn check_end(&mut self) {
         let now = self.now;
-        let leading = self
+        let leader_state = self
             .nodes
             .iter()
-            .filter_map(|one| one.shard.as_ref())
+            .filter_map(|sim_node| sim_node.shard.as_ref())
             .find(|shard| shard.is_serving(now))
             .map(|shard| shard.state().clone());
         for caller in self.callers.clone() {
-            let Plan::Program { program, output_budget, .. } = &caller.plan else { continue };
-            self.oracle.budget(program, *output_budget);
-            if let Some(state) = &leading {
-                self.oracle.recorded(program, caller.answered, state.program(program));
+            let CallerPlan::Program { program, output_budget, .. } = &caller.plan else { continue };
+            self.oracle.check_budget(program, *output_budget);
+            if let Some(state) = &leader_state {
+                self.oracle.check_recorded_history(program, caller.answered, state.program(program));
             }
             if caller.is_done {
-                let held = self.memory.iter().filter(|engine| engine.contains(program)).count();
-                let record = leading.as_ref().and_then(|state| state.program(program));
+                let holders = self.engine_memory.iter().filter(|engine| engine.contains(program)).count();
+                let record = leader_state.as_ref().and_then(|state| state.program(program));
                 let ended = record.map(|record| record.ended);
-                self.oracle.check(Guarantee::NoMemoryForGonePrograms, held == 0, || {
-                    format!("{program} is gone and {held} engines hold memory for it; recorded {ended:?}")
+                self.oracle.check(Guarantee::NoMemoryForGonePrograms, holders == 0, || {
+                    format!(
+                        "{program} is done, but {holders} engines hold memory for it; recorded end {ended:?}"
+                    )
                 });
             }
         }
--- a/crates/simulation/src/world/shards.rs
+++ b/crates/simulation/src/world/shards.rs
@@ -1,4 +1,4 @@
-//! Program shards of the simulated world: commands, entries, and what follows from them.
+//! Program shards on simulated nodes: replication messages, commands and their outputs.
 
 use rand::Rng;
 use sumacdrift_program::{Command, Effect};
@@ -11,7 +11,7 @@
 use crate::packet::{CommandAnswer, Packet};
 
 impl World {
-    pub(super) fn receive_group(
+    pub(super) fn receive_replication_message(
         &mut self,
         node: usize,
         from: ReplicaId,
@@ -34,29 +34,29 @@
         if let Some(shard) = self.nodes[node].shard.as_mut() {
             shard.receive(from, message, now);
         }
-        self.shard_outputs(node);
+        self.process_shard_outputs(node);
     }
 
-    /// Handles a command with the replica here and remembers who waits for the answer.
+    /// Passes a command to the local replica and records the waiter for its answer.
     pub(crate) fn receive_command(&mut self, node: usize, from: usize, exchange: u64, command: Command) {
         let now = self.now;
         let waiter = Waiter { node: from, incarnation: self.nodes[from].incarnation, exchange };
         let call = command.call();
-        let one = &mut self.nodes[node];
-        let outcome = match one.shard.as_mut() {
+        let sim_node = &mut self.nodes[node];
+        let outcome = match sim_node.shard.as_mut() {
             None => Err(None),
             Some(shard) => {
-                one.waiting.insert(call, waiter);
+                sim_node.command_waiters.insert(call, waiter);
                 shard.command(command, now).map_err(|not_leader| not_leader.hint)
             }
         };
         if let Err(hint) = outcome {
-            one.waiting.remove(&call);
+            sim_node.command_waiters.remove(&call);
             let hint = hint.map(|replica| node_index(replica.node));
             self.answer_command(node, waiter, CommandAnswer::NotLeader(hint));
             return;
         }
-        self.shard_outputs(node);
+        self.process_shard_outputs(node);
     }
 
     pub(super) fn answer_command(&mut self, node: usize, waiter: Waiter, answer: CommandAnswer) {
@@ -64,7 +64,7 @@
         self.send(node, waiter.node, Packet::CommandAnswer { exchange, answer });
     }
 
-    pub(crate) fn shard_outputs(&mut self, node: usize) {
+    pub(crate) fn process_shard_outputs(&mut self, node: usize) {
         loop {
             let Some(shard) = self.nodes[node].shard.as_mut() else { return };
             let outputs = shard.take_outputs();
@@ -72,28 +72,28 @@
                 return;
             }
             for output in outputs {
-                self.shard_output(node, output);
+                self.process_shard_output(node, output);
             }
         }
     }
 
-    pub(super) fn shard_output(&mut self, node: usize, output: ShardOutput) {
+    pub(super) fn process_shard_output(&mut self, node: usize, output: ShardOutput) {
         match output {
             ShardOutput::Send { to, message } => {
                 let from = self.nodes[node].replica();
                 self.send(node, node_index(to.node), Packet::Group { from, to, message });
             }
             ShardOutput::Reply { call, reply } => {
-                if let Some(waiter) = self.nodes[node].waiting.remove(&call) {
+                if let Some(waiter) = self.nodes[node].command_waiters.remove(&call) {
                     self.answer_command(node, waiter, CommandAnswer::Reply(reply));
                 }
             }
-            ShardOutput::Effect(effect) => self.effect(node, effect),
+            ShardOutput::Effect(effect) => self.apply_effect(node, effect),
             ShardOutput::BecameLeader { .. } => self.nodes[node].leader = Some(node),
             ShardOutput::LostLeadership => {
                 self.nodes[node].leader = None;
-                let waiting = std::mem::take(&mut self.nodes[node].waiting);
-                for waiter in waiting.into_values() {
+                let command_waiters = std::mem::take(&mut self.nodes[node].command_waiters);
+                for waiter in command_waiters.into_values() {
                     self.answer_command(node, waiter, CommandAnswer::NotLeader(None));
                 }
             }
@@ -101,12 +101,12 @@
         }
     }
 
-    pub(super) fn effect(&mut self, node: usize, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::FreeEngines { program, engines } => {
                 for engine in engines {
                     let Some(index) = engine_index(&engine) else { continue };
-                    let owner = self.nodes[node].owner_of(index, self.now);
+                    let owner = self.nodes[node].engine_owner(index, self.now);
                     let program = program.clone();
                     self.send(node, owner, Packet::FreeProgram { engine, program });
                 }
--- a/crates/simulation/tests/guarantees.rs
+++ b/crates/simulation/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! The ten guarantees under faults, alone and in pairs, and seeds that once failed.
+//! Checks the guarantees without faults, under single faults, pairs and all faults, and on seeds of past failures.
 
 use sumacdrift_simulation::{FaultKind, SimulationOptions, SimulationReport, parse_faults, simulate};
 
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn nothing_is_violated_without_faults() {
+fn guarantees_hold_without_faults() {
     let report = run(1, Vec::new());
     assert_clean(&report);
     assert!(report.turns > 0);
 }
 
 #[test]
-fn every_fault_alone_is_borne() {
+fn guarantees_hold_under_each_fault() {
     for kind in FaultKind::ALL {
         for seed in 1..=6 {
             assert_clean(&run(seed, vec![kind]));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_pair_of_faults_is_borne() {
+fn guarantees_hold_under_each_pair_of_faults() {
     for (position, first) in FaultKind::ALL.into_iter().enumerate() {
         for second in FaultKind::ALL.into_iter().skip(position + 1) {
             for seed in 1..=2 {
@@ -38,30 +38,30 @@
 }
 
 #[test]
-fn all_faults_together_are_borne() {
+fn guarantees_hold_under_all_faults_together() {
     for seed in 1..=40 {
         assert_clean(&run(seed, FaultKind::ALL.to_vec()));
     }
 }
 
-/// Seeds that found faults of the system, with the numbers of programs that they failed with.
+/// Guards against the failures that these seeds and faults once found with 20 programs.
 #[test]
-fn seeds_that_once_failed_stay_clean() {
-    let once_failed = [(22, "pause"), (7, "duplicate"), (38, "pause,partition"), (5, "all"), (148, "all")];
-    for (seed, list) in once_failed {
-        let faults = parse_faults(list).expect("a list of faults");
+fn seeds_of_past_failures_are_clean() {
+    let past_failures = [(22, "pause"), (7, "duplicate"), (38, "pause,partition"), (5, "all"), (148, "all")];
+    for (seed, list) in past_failures {
+        let faults = parse_faults(list).expect("valid list of faults");
         assert_clean(&simulate(&SimulationOptions { seed, programs: 20, faults }));
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_report() {
+fn equal_seeds_give_equal_reports() {
     let faults = FaultKind::ALL.to_vec();
     assert_eq!(run(3, faults.clone()), run(3, faults));
 }
 
 #[test]
-fn an_unknown_fault_is_named() {
-    let error = parse_faults("crash,meteor").expect_err("meteor is no fault");
-    assert_eq!(error.to_string(), "there is no fault \"meteor\"");
+fn unknown_fault_is_named_in_the_error() {
+    let error = parse_faults("crash,meteor").expect_err("unknown fault");
+    assert_eq!(error.to_string(), "unknown fault \"meteor\"");
 }
--- a/crates/simulation/tests/mutants.rs
+++ b/crates/simulation/tests/mutants.rs
@@ -1,13 +1,13 @@
-//! Each rule of the decision code broken once: the checker must notice every time.
+//! Mutation tests: the simulation must detect each broken rule of the decision code.
 #![cfg(feature = "mutants")]
 
 use sumacdrift_mutants::{Rule, with_broken};
 use sumacdrift_simulation::{FaultKind, SimulationOptions, simulate};
 
-/// Seeds that are tried before a broken rule counts as unnoticed.
+/// Seeds that are run before a broken rule counts as undetected.
 const SEEDS: u64 = 400;
 
-/// Finds a seed in which breaking the rule shows, and says what it violated.
+/// Runs seeds until one detects the broken rule; returns the violated guarantees.
 fn find_violation(rule: Rule) -> Option<Vec<String>> {
     for seed in 1..=SEEDS {
         let options = SimulationOptions { seed, programs: 12, faults: FaultKind::ALL.to_vec() };
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn every_broken_rule_is_noticed() {
-    let mut unnoticed = Vec::new();
+fn each_broken_rule_is_detected() {
+    let mut undetected = Vec::new();
     for rule in Rule::ALL {
         match find_violation(rule) {
             Some(violated) => println!("{rule:?}: {}", violated.join(", ")),
-            None => unnoticed.push(rule),
+            None => undetected.push(rule),
         }
     }
-    assert!(unnoticed.is_empty(), "not noticed: {unnoticed:?}");
+    assert!(undetected.is_empty(), "not detected: {undetected:?}");
 }
