--- a/crates/mutants/src/lib.rs
+++ b/crates/mutants/src/lib.rs
@@ -1,87 +1,87 @@
-//! A switch that breaks one rule of the decision code at a time, so that the checkers can be checked.
+//! A switch that breaks one rule of the decision code at a time, for mutation tests of the simulations.
 //!
-//! A checker that has never failed proves little. With the feature `enabled`, a test breaks one rule on its own
-//! thread and expects the simulator to notice. Without the feature the switch is a constant `false`.
+//! With the feature `enabled`, a test breaks one rule on its own thread and expects the simulation to detect it.
+//! Without the feature, [`is_broken`] is a constant `false`.
 
-/// A rule that can be broken.
+/// A rule that a mutation test can break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// A leader acknowledges only what a majority holds.
+    /// A leader acknowledges only entries that a majority holds.
     MajorityBeforeAcknowledgement,
-    /// A restarted process is another replica, which has no vote.
+    /// A restarted process is a new replica without a vote.
     NewIdentityAfterRestart,
-    /// A replica votes only for candidates whose log is as long as its own.
+    /// A replica votes only for candidates whose log is at least as up to date as its own.
     VoteForLongLogsOnly,
-    /// A turn waits for the one before it.
+    /// A turn waits for the preceding turn.
     TurnsInOrder,
-    /// A full message list must begin with the recorded history.
+    /// A full message list must start with the recorded history.
     HistoryMustMatch,
-    /// A budget is reserved before a call runs.
+    /// A call's tokens are reserved from the budget before it runs.
     ReserveBudget,
-    /// A repeated turn gets its recorded answer.
+    /// A repeated turn is answered from the record.
     ReplayRecordedTurn,
-    /// A service call is in the ledger before it is sent.
+    /// A service call is recorded in the ledger before it is sent.
     LedgerBeforeSending,
-    /// A service call whose outcome is unknown is not run again.
+    /// A service call with an unknown outcome is not run again.
     UnknownIsNotRunAgain,
-    /// Ended programs are freed at their engines.
+    /// Engines free the memory of ended programs.
     FreeEndedPrograms,
-    /// A leaving engine's queue refuses.
+    /// A leaving engine gets no new calls.
     LeavingEngineRefuses,
-    /// A generation never goes down.
+    /// The generation of the configuration never decreases.
     GenerationsOnlyRise,
-    /// A granted call that failed on its way is not declared as not run.
+    /// A call that was sent to a back end is never reported as not run.
     SentIsNeverNotRun,
-    /// A stopping node finishes its calls.
+    /// A stopping node finishes its calls before it exits.
     StopFinishesCalls,
-    /// An answer goes to the call that asked for it.
+    /// A repeated turn gets the answer to that turn, not to another.
     AnswerToOwnCall,
-    /// A ledger replica without its records does not vote.
+    /// A ledger replica without its records doesn't vote.
     LedgerVoteNeedsRecords,
-    /// A ledger replica reads so many others that no record can be missing.
+    /// A recovering ledger replica reads from enough others that no acknowledged record can be missing.
     LedgerReadsEnough,
-    /// A ledger replica hands out pages only if its records are complete.
+    /// A ledger replica serves pages only if its records are complete.
     LedgerPagesAreComplete,
-    /// A ledger replica serves its own epoch only.
+    /// A ledger replica serves requests of its own epoch only.
     LedgerServesOwnEpoch,
-    /// What was read under an earlier group of the ledger does not count.
+    /// Records read under an earlier group don't count for the recovery of a ledger replica.
     LedgerReadsThisEpoch,
-    /// A turn of which only the begin is known counts with its most.
+    /// A turn whose end is not recorded counts with its maximum of tokens.
     LedgerOpenTurnsCount,
-    /// A ledger replica keeps what it acknowledged.
+    /// A ledger replica makes a record durable before it acknowledges it.
     LedgerCommitsBeforeReply,
-    /// A ledger replica says that it never voted only if that is sure.
+    /// A ledger replica reports that it never voted only if that is certain.
     LedgerNeverVotedIsTrue,
-    /// A ledger replica stops voting before it hands over and leaves.
+    /// A ledger replica stops voting before it hands over its records and leaves.
     LedgerLeavesInSilence,
-    /// No zone holds more members of a group than the group can lose.
+    /// No zone holds more members of a group than the group tolerates losing.
     LedgerZonesHoldFewMembers,
-    /// A group never spreads to a region in which it has no member.
+    /// A group never extends to a region in which it has no member.
     LedgerStaysInItsRegions,
-    /// A member that others of the group hear is not lost.
+    /// A member that others of the group hear from doesn't count as lost.
     LedgerLostHasWitnesses,
-    /// A key opens nothing where what is known of keys is too old.
+    /// API keys are rejected while the node's key data is too old.
     AccessAgeIsBounded,
-    /// A node admits few calls that a majority of those that count has not acknowledged.
+    /// The calls that a node admitted and a majority of the counting nodes has not acknowledged are bounded.
     QuotaUnacknowledgedIsBounded,
-    /// A node that hears no majority of those that count decides nothing.
+    /// A node decides on quotas only while it hears from a majority of the counting nodes.
     QuotaNeedsMajority,
-    /// What other nodes admitted counts.
+    /// Calls admitted by other nodes count against a quota.
     QuotaTotalsCount,
-    /// An older report of an evacuation says nothing against a newer one.
+    /// An older report on an evacuation doesn't override a newer one.
     EvacuationRevisionsCount,
-    /// An engine of an evacuated zone is never chosen.
+    /// An engine in an evacuated zone is never chosen.
     EvacuatedZonesGetNothing,
-    /// Engines count as cold behind an evacuation.
+    /// Engines count as cold after an evacuation.
     EvacuatedEnginesComeBackCold,
-    /// A cold engine gets a call only by a permit that is not too old.
+    /// A cold engine gets a call only with a permit that has not expired.
     ColdEnginesNeedPermits,
-    /// Calls are served only in the regions that they are bound to.
+    /// Calls are served only in their allowed regions.
     WorkStaysInItsRegions,
 }
 
 impl Rule {
-    /// Rules of the program ledger, which has a simulation of its own.
+    /// Rules of the program ledger, checked by the ledger's own simulation.
     pub const LEDGER: [Rule; 12] = [
         Rule::LedgerVoteNeedsRecords,
         Rule::LedgerReadsEnough,
@@ -97,7 +97,7 @@
         Rule::LedgerLostHasWitnesses,
     ];
 
-    /// Rules of keys and quotas.
+    /// Rules of API keys and quotas.
     pub const ACCESS: [Rule; 4] = [
         Rule::AccessAgeIsBounded,
         Rule::QuotaUnacknowledgedIsBounded,
@@ -105,7 +105,7 @@
         Rule::QuotaTotalsCount,
     ];
 
-    /// Rules of the choice among engines.
+    /// Rules of engine selection.
     pub const ROUTING: [Rule; 5] = [
         Rule::EvacuationRevisionsCount,
         Rule::EvacuatedZonesGetNothing,
@@ -114,7 +114,7 @@
         Rule::WorkStaysInItsRegions,
     ];
 
-    /// Rules of the node, which the fleet's simulation checks.
+    /// Rules of the node, checked by the simulation of the fleet.
     pub const ALL: [Rule; 15] = [
         Rule::MajorityBeforeAcknowledgement,
         Rule::NewIdentityAfterRestart,
@@ -161,7 +161,7 @@
 #[cfg(feature = "enabled")]
 pub use switch::{is_broken, with_broken};
 
-/// Whether a rule is broken on this thread: never, in this build.
+/// Always `false`: the feature `enabled` is off.
 #[cfg(not(feature = "enabled"))]
 #[inline(always)]
 pub const fn is_broken(_rule: Rule) -> bool {
