--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -180,7 +180,7 @@
     let broken_before = context.broken[number].load(Ordering::Relaxed);
     let is_clean = node.stop().await;
     let broken = context.broken[number].load(Ordering::Relaxed) - broken_before;
-    context.checks.check(Guarantee::PlannedStopCutsNothing, is_clean && broken == 0, || {
+    context.checks.check(Guarantee::PlannedStopFinishesCalls, is_clean && broken == 0, || {
         format!("planned stop of node {}: every call finished {is_clean}, {broken} broke", number + 1)
     });
 }
@@ -216,14 +216,14 @@
             let Some(node) = node else { continue };
             let present = node.generation();
             let before = highest.insert(number, present).unwrap_or(0);
-            context.checks.check(Guarantee::ConfigurationInForce, present >= before, || {
+            context.checks.check(Guarantee::ConfigurationApplied, present >= before, || {
                 format!("node {} went back from generation {before} to {present}", number + 1)
             });
             is_everywhere &= present >= generation;
         }
         let elapsed = started.elapsed();
         if is_everywhere || elapsed > CONFIGURATION_LIMIT {
-            context.checks.check(Guarantee::ConfigurationInForce, is_everywhere, || {
+            context.checks.check(Guarantee::ConfigurationApplied, is_everywhere, || {
                 format!("generation {generation} was not in force everywhere after {elapsed:?}")
             });
             return elapsed;
@@ -237,7 +237,7 @@
     for (number, node) in fleet.nodes.iter().enumerate() {
         let Some(node) = node else { continue };
         let present = node.generation();
-        context.checks.check(Guarantee::ConfigurationInForce, present >= generation, || {
+        context.checks.check(Guarantee::ConfigurationApplied, present >= generation, || {
             format!("node {} is ready with generation {present}, not {generation}", number + 1)
         });
     }
@@ -254,7 +254,7 @@
     }
     for program in &ended {
         let blocks = held(program);
-        context.checks.check(Guarantee::NoMemoryForGonePrograms, blocks == 0, || {
+        context.checks.check(Guarantee::EngineMemoryFreed, blocks == 0, || {
             format!("{program} is gone and {blocks} blocks are held for it")
         });
     }
@@ -285,7 +285,7 @@
     let limit = left_at + LEAVING_GRACE;
     let late: Vec<EngineRun> =
         fleet.trace.runs().into_iter().filter(|run| run.engine == *leaving && run.started > limit).collect();
-    context.checks.check(Guarantee::NoWorkForLeaving, late.is_empty(), || {
+    context.checks.check(Guarantee::NoCallsToLeavingEngines, late.is_empty(), || {
         format!("{leaving} got {} calls after it left, such as {:?}", late.len(), late.first())
     });
 }
@@ -296,7 +296,7 @@
     let calls = context.results().not_run_calls.clone();
     for call in calls {
         let holds = !ran.contains(&call);
-        context.checks.check(Guarantee::NotRunIsTrue, holds, || format!("call {call} ran after all"));
+        context.checks.check(Guarantee::NotRunIsAccurate, holds, || format!("call {call} ran after all"));
     }
 }
 
--- a/crates/bench/src/program_run.rs
+++ b/crates/bench/src/program_run.rs
@@ -132,7 +132,7 @@
                 TurnEnd::Answered(_) => {}
                 TurnEnd::BudgetExhausted => {
                     let expected = self.plan.kind == ProgramKind::Runaway;
-                    self.context.checks.check(Guarantee::BudgetHolds, expected, || {
+                    self.context.checks.check(Guarantee::BudgetEnforced, expected, || {
                         format!("{} ran out of a large budget", self.plan.name)
                     });
                     return true;
@@ -144,7 +144,7 @@
             }
         }
         if self.plan.kind == ProgramKind::Runaway {
-            self.context.checks.check(Guarantee::BudgetHolds, false, || {
+            self.context.checks.check(Guarantee::BudgetEnforced, false, || {
                 format!("{} was never stopped by its budget", self.plan.name)
             });
         }
@@ -189,7 +189,7 @@
 
     fn check_same(&self, first: &TurnEnd, second: &TurnEnd) {
         if let (TurnEnd::Answered(first), TurnEnd::Answered(second)) = (first, second) {
-            self.context.checks.check(Guarantee::WholeAnswers, first == second, || {
+            self.context.checks.check(Guarantee::CompleteAnswers, first == second, || {
                 format!("{}: two requests for one turn got two answers", self.plan.name)
             });
         }
@@ -240,7 +240,7 @@
         drop(results);
         let tokens = (text.len() / 4) as u64;
         let holds = is_whole && tokens == usage.output_tokens;
-        self.context.checks.check(Guarantee::WholeAnswers, holds, || {
+        self.context.checks.check(Guarantee::CompleteAnswers, holds, || {
             let name = &self.plan.name;
             format!("{name}: whole {is_whole}, {tokens} tokens seen, {} reported", usage.output_tokens)
         });
@@ -252,7 +252,7 @@
         let is_runaway = self.plan.kind == ProgramKind::Runaway;
         let expected = answer_text(&prompt, output_length(&prompt, MAX_TOKENS));
         let holds = if is_runaway { expected.starts_with(text) } else { expected == text };
-        self.context.checks.check(Guarantee::HistoryKept, holds, || {
+        self.context.checks.check(Guarantee::HistoryPreserved, holds, || {
             format!("{}: the answer does not follow from the history", self.plan.name)
         });
     }
@@ -272,7 +272,7 @@
         let TurnEnd::Answered(text) = self.answered(&request).await else { return false };
         let prompt = Prompt::from_messages(&messages);
         let expected = answer_text(&prompt, output_length(&prompt, MAX_TOKENS));
-        self.context.checks.check(Guarantee::HistoryKept, text == expected, || {
+        self.context.checks.check(Guarantee::HistoryPreserved, text == expected, || {
             format!("{name}: the answer does not follow from the history")
         });
         // The sub-agent is left to its parent's end, which must end it too.
@@ -327,7 +327,7 @@
             let total = report.pointer("/history/messages_recorded").and_then(Value::as_u64).unwrap_or(0);
             if recorded.len() as u64 >= total {
                 let holds = recorded == self.messages || self.messages.len() <= 1;
-                self.context.checks.check(Guarantee::HistoryKept, holds, || {
+                self.context.checks.check(Guarantee::HistoryPreserved, holds, || {
                     let name = &self.plan.name;
                     format!("{name}: {} messages recorded, {} known", recorded.len(), self.messages.len())
                 });
@@ -341,7 +341,7 @@
         for what in ["turns", "input_tokens", "output_tokens", "sub_agents"] {
             let spent = number(&format!("/budget/spent/{what}"));
             let limit = number(&format!("/budget/limits/{what}"));
-            self.context.checks.check(Guarantee::BudgetHolds, spent <= limit, || {
+            self.context.checks.check(Guarantee::BudgetEnforced, spent <= limit, || {
                 format!("{}: {spent} {what} spent of {limit}", self.plan.name)
             });
         }
--- a/crates/guarantees/src/lib.rs
+++ b/crates/guarantees/src/lib.rs
@@ -1,80 +1,77 @@
-//! The ten guarantees by name, and the count of their checks. The simulator and the demo share them, so that a
-//! name in a report means the same in both.
+//! The guarantees that the simulation and the demo check, by name, and counters of the checks.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// Violations that are kept in words.
-const KEPT_EXAMPLES: usize = 3;
+/// Described violations per guarantee.
+const MAX_EXAMPLES: usize = 3;
 
-/// The ten guarantees, in the brief's order.
+/// A guarantee to callers and operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Guarantee {
-    /// The calls of one program are served in their order.
+    /// The calls of a program are served in order.
     CallsInOrder,
-    /// A program's history is never lost and never mixed with another's.
-    HistoryKept,
-    /// A program's budget holds.
-    BudgetHolds,
-    /// No engine memory stays held for programs that are gone.
-    NoMemoryForGonePrograms,
-    /// Every caller gets the whole answer to its own request.
-    WholeAnswers,
-    /// A refusal that says "not run" is true.
-    NotRunIsTrue,
-    /// A request that may not be repeated runs at most once.
+    /// A program's history is never lost or mixed with another program's.
+    HistoryPreserved,
+    /// A program never exceeds its budget.
+    BudgetEnforced,
+    /// Engines hold no memory for ended programs.
+    EngineMemoryFreed,
+    /// Each caller gets the complete answer to its own request.
+    CompleteAnswers,
+    /// A call that is reported as not run has not run.
+    NotRunIsAccurate,
+    /// A non-repeatable request runs at most once.
     AtMostOnce,
-    /// A leaving back end gets no new work after a few seconds.
-    NoWorkForLeaving,
-    /// A planned stop cuts off no request.
-    PlannedStopCutsNothing,
-    /// An accepted configuration is in force everywhere within seconds and never reverts.
-    ConfigurationInForce,
+    /// A leaving back end gets no new calls after a few seconds.
+    NoCallsToLeavingEngines,
+    /// A planned stop interrupts no request.
+    PlannedStopFinishesCalls,
+    /// An accepted configuration reaches every node within seconds and is never reverted.
+    ConfigurationApplied,
 }
 
 impl Guarantee {
-    /// All of them.
+    /// Every guarantee, in the order of reports.
     pub const ALL: [Guarantee; 10] = [
         Guarantee::CallsInOrder,
-        Guarantee::HistoryKept,
-        Guarantee::BudgetHolds,
-        Guarantee::NoMemoryForGonePrograms,
-        Guarantee::WholeAnswers,
-        Guarantee::NotRunIsTrue,
+        Guarantee::HistoryPreserved,
+        Guarantee::BudgetEnforced,
+        Guarantee::EngineMemoryFreed,
+        Guarantee::CompleteAnswers,
+        Guarantee::NotRunIsAccurate,
         Guarantee::AtMostOnce,
-        Guarantee::NoWorkForLeaving,
-        Guarantee::PlannedStopCutsNothing,
-        Guarantee::ConfigurationInForce,
+        Guarantee::NoCallsToLeavingEngines,
+        Guarantee::PlannedStopFinishesCalls,
+        Guarantee::ConfigurationApplied,
     ];
 
-    /// The name used in reports.
+    /// Name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Guarantee::CallsInOrder => "calls_in_order",
-            Guarantee::HistoryKept => "history_never_lost_or_mixed",
-            Guarantee::BudgetHolds => "budget_holds",
-            Guarantee::NoMemoryForGonePrograms => "no_engine_memory_for_gone_programs",
-            Guarantee::WholeAnswers => "whole_answer_to_own_request",
-            Guarantee::NotRunIsTrue => "not_run_is_true",
+            Guarantee::HistoryPreserved => "history_never_lost_or_mixed",
+            Guarantee::BudgetEnforced => "budget_holds",
+            Guarantee::EngineMemoryFreed => "no_engine_memory_for_gone_programs",
+            Guarantee::CompleteAnswers => "whole_answer_to_own_request",
+            Guarantee::NotRunIsAccurate => "not_run_is_true",
             Guarantee::AtMostOnce => "unrepeatable_runs_at_most_once",
-            Guarantee::NoWorkForLeaving => "leaving_back_end_gets_no_new_work",
-            Guarantee::PlannedStopCutsNothing => "planned_stop_cuts_nothing",
-            Guarantee::ConfigurationInForce => "configuration_in_force_and_never_reverts",
+            Guarantee::NoCallsToLeavingEngines => "leaving_back_end_gets_no_new_work",
+            Guarantee::PlannedStopFinishesCalls => "planned_stop_cuts_nothing",
+            Guarantee::ConfigurationApplied => "configuration_in_force_and_never_reverts",
         }
     }
 }
 
-/// One guarantee in a report.
+/// Counts of one guarantee in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+#[allow(missing_docs)]
 pub struct GuaranteeResult {
-    /// Name.
     pub name: String,
-    /// How often it was checked.
     pub checked: u64,
-    /// How often it was violated.
     pub violated: u64,
-    /// The first violations, in words.
+    /// Descriptions of the first violations.
     pub examples: Vec<String>,
 }
 
@@ -85,14 +82,14 @@
     examples: Vec<String>,
 }
 
-/// Counts of checks and violations.
+/// Counters of checks and violations, by guarantee.
 #[derive(Debug, Default, Clone)]
 pub struct Tallies {
     by_guarantee: BTreeMap<Guarantee, Tally>,
 }
 
 impl Tallies {
-    /// Notes one check. `describe` is called only where the guarantee was violated.
+    /// Counts a check. `describe` is called only for the first violations of a guarantee.
     pub fn check(&mut self, guarantee: Guarantee, holds: bool, describe: impl FnOnce() -> String) {
         let tally = self.by_guarantee.entry(guarantee).or_default();
         tally.checked += 1;
@@ -100,12 +97,12 @@
             return;
         }
         tally.violated += 1;
-        if tally.examples.len() < KEPT_EXAMPLES {
+        if tally.examples.len() < MAX_EXAMPLES {
             tally.examples.push(describe());
         }
     }
 
-    /// The results of all ten guarantees, in the brief's order.
+    /// The counts of all guarantees, in the order of [`Guarantee::ALL`].
     pub fn results(&self) -> Vec<GuaranteeResult> {
         let result = |guarantee: Guarantee| {
             let tally = self.by_guarantee.get(&guarantee).cloned().unwrap_or_default();
--- a/crates/mutants/src/lib.rs
+++ b/crates/mutants/src/lib.rs
@@ -1,7 +1,7 @@
 //! A switch that breaks one rule of the decision code at a time, for mutation tests of the simulations.
 //!
-//! With the feature `enabled`, a test breaks one rule on its own thread and expects the simulation to detect it.
-//! Without the feature, [`is_broken`] is a constant `false`.
+//! With the feature `enabled`, a test breaks one rule on its own thread and expects the simulation to detect
+//! it. Without the feature, [`is_broken`] is a constant `false`.
 
 /// A rule that a mutation test can break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/simulation/src/caller.rs
+++ b/crates/simulation/src/caller.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// The request for the turn `ahead` turns after the next one. Past the last turn the request ends the program if
-    /// `ahead` is 0, and is `None` otherwise.
+    /// The request for the turn `ahead` turns after the next one. Past the last turn the request ends the
+    /// program if `ahead` is 0, and is `None` otherwise.
     pub(crate) fn build_request(&self, ahead: u32) -> Option<CallerRequest> {
         match &self.plan {
             CallerPlan::Service { key, .. } => Some(CallerRequest::Service { key: key.clone(), body: 1 }),
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -321,7 +321,8 @@
         self.send(node, owner, Packet::Enqueue { exchange, engine, work: Box::new(work) });
     }
 
-    /// Handles an owner that didn't answer: withdraws the call there, in case it was granted a slot, and retries.
+    /// Handles an owner that didn't answer: withdraws the call there, in case it was granted a slot, and
+    /// retries.
     fn handle_enqueue_timeout(&mut self, node: usize, call: CallId) {
         let Some(task) = self.nodes[node].tasks.get(&call).cloned() else { return };
         let Stage::Queued { run, engine, owner } = task.stage else { return };
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -17,8 +17,8 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Concurrent calls of an engine.
 const ENGINE_SLOTS: usize = 4;
-/// A granted slot that is not released for this long expires. Simulated calls end within seconds; with the default
-/// of ten minutes, a slot whose release was lost would stay occupied to the end of the run.
+/// A granted slot that is not released for this long expires. Simulated calls end within seconds; with the
+/// default of ten minutes, a slot whose release was lost would stay occupied to the end of the run.
 const GRANT_LEASE: Duration = Duration::from_secs(15);
 
 /// The node and exchange to which the answer to a command or enqueued call goes.
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -1,6 +1,7 @@
 //! The oracle: records executions and answers, and checks the guarantees on them.
 //!
-//! Engine answers are a function of the correct history, so the expected answer to each turn is known in advance.
+//! Engine answers are a function of the correct history, so the expected answer to each turn is known in
+//! advance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -41,7 +42,7 @@
         self.check(Guarantee::CallsInOrder, user_messages(prompt) == user_messages(expected), || {
             format!("{program}: engine received turns {:?}", user_messages(prompt))
         });
-        self.check(Guarantee::HistoryKept, prompt == expected, || {
+        self.check(Guarantee::HistoryPreserved, prompt == expected, || {
             format!("{program}: engine received history {prompt:?}")
         });
     }
@@ -61,7 +62,7 @@
     fn record_run(&mut self, call: CallId) {
         self.started_calls.insert(call);
         if self.reported_not_run.contains(&call) {
-            self.check(Guarantee::NotRunIsTrue, false, || {
+            self.check(Guarantee::NotRunIsAccurate, false, || {
                 format!("{call} ran after it was reported as not run")
             });
         }
@@ -72,7 +73,7 @@
         if problem.ran == Ran::No {
             self.reported_not_run.insert(call);
             let has_run = self.started_calls.contains(&call);
-            self.check(Guarantee::NotRunIsTrue, !has_run, || {
+            self.check(Guarantee::NotRunIsAccurate, !has_run, || {
                 format!("{call} ran, but was answered {problem}")
             });
         }
@@ -81,7 +82,7 @@
     pub(crate) fn check_answer(&mut self, program: &ProgramId, turn: u32, message: &ChatMessage) {
         let expected = expected_history(program, turn as usize + 1);
         let holds = expected.last() == Some(message);
-        self.check(Guarantee::WholeAnswers, holds, || {
+        self.check(Guarantee::CompleteAnswers, holds, || {
             format!("{program} turn {turn}: got {message:?}, expected {:?}", expected.last())
         });
     }
@@ -96,14 +97,14 @@
         let expected = expected_history(program, turns as usize);
         let recorded = record.map(|record| record.history.messages().to_vec()).unwrap_or_default();
         let holds = recorded.len() >= expected.len() && recorded[..expected.len()] == expected[..];
-        self.check(Guarantee::HistoryKept, holds, || {
+        self.check(Guarantee::HistoryPreserved, holds, || {
             format!("{program}: {turns} turns were answered, but the recorded history is {recorded:?}")
         });
     }
 
     pub(crate) fn check_budget(&mut self, program: &ProgramId, limit: u64) {
         let generated_tokens = self.generated_tokens.get(program).copied().unwrap_or(0);
-        self.check(Guarantee::BudgetHolds, generated_tokens <= limit, || {
+        self.check(Guarantee::BudgetEnforced, generated_tokens <= limit, || {
             format!("{program}: {generated_tokens} tokens generated of {limit}")
         });
     }
@@ -116,14 +117,15 @@
         }
     }
 
-    /// Checks a call sent to an engine. `is_excused`: the node may not have learned yet that the engine is leaving.
+    /// Checks a call sent to an engine. `is_excused`: the node may not have learned yet that the engine is
+    /// leaving.
     pub(crate) fn check_dispatch(&mut self, engine: usize, is_excused: bool, now: Timestamp) {
         if self.leaving_since.is_empty() {
             return;
         }
         let since = self.leaving_since.get(&engine).copied();
         let is_late = since.is_some_and(|since| now.since(since) > LEAVING_GRACE);
-        self.check(Guarantee::NoWorkForLeaving, !is_late || is_excused, || {
+        self.check(Guarantee::NoCallsToLeavingEngines, !is_late || is_excused, || {
             format!("engine {engine} got a call although it has been leaving since {since:?}")
         });
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -295,7 +295,8 @@
         }
     }
 
-    /// Whether a node's event is to be processed now. An event of a paused node is rescheduled to the end of the pause.
+    /// Whether a node's event is to be processed now. An event of a paused node is rescheduled to the end of
+    /// the pause.
     fn should_process(&mut self, node: usize, incarnation: Incarnation, event: &Event) -> bool {
         let sim_node = &self.nodes[node];
         if !sim_node.is_up || sim_node.incarnation != incarnation {
@@ -466,7 +467,7 @@
                 self.oracle.set_leaving(&leaving, self.now);
             }
         }
-        self.oracle.check(Guarantee::ConfigurationInForce, winners <= 1, || {
+        self.oracle.check(Guarantee::ConfigurationApplied, winners <= 1, || {
             format!("{winners} operators wrote the same generation")
         });
     }
@@ -494,7 +495,8 @@
         }
     }
 
-    /// The node to send a command to: the known leader, or else the next in an order that is fixed for each node.
+    /// The node to send a command to: the known leader, or else the next in an order that is fixed for each
+    /// node.
     pub(crate) fn choose_target(&mut self, node: usize, tried: usize) -> usize {
         if let Some(leader) = self.nodes[node].leader {
             return leader;
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -95,7 +95,7 @@
                     && turn == self.callers[caller].answered;
                 let plan = format!("{plan:?}");
                 self.oracle.record_rejection(*call, problem);
-                self.oracle.check(Guarantee::HistoryKept, !is_wrong_mismatch, || {
+                self.oracle.check(Guarantee::HistoryPreserved, !is_wrong_mismatch, || {
                     format!("{plan}: the correct history was rejected")
                 });
             }
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -50,13 +50,13 @@
         let generation = sim_node.configuration.generation();
         let key = (node, sim_node.incarnation);
         let before = self.generations_seen.insert(key, generation).unwrap_or_default();
-        self.oracle.check(Guarantee::ConfigurationInForce, generation >= before, || {
+        self.oracle.check(Guarantee::ConfigurationApplied, generation >= before, || {
             format!("node {node} reverted from generation {before} to {generation}")
         });
         let since = self.now.since(self.platform.accepted_at);
         let accepted = self.platform.configuration.generation;
         if since > PROPAGATION_GRACE && self.now > self.lag_tolerated_until && generation > Generation(0) {
-            self.oracle.check(Guarantee::ConfigurationInForce, generation >= accepted, || {
+            self.oracle.check(Guarantee::ConfigurationApplied, generation >= accepted, || {
                 format!("node {node} has generation {generation}, {accepted} was accepted {since:?} ago")
             });
         }
@@ -80,7 +80,7 @@
                 let holders = self.engine_memory.iter().filter(|engine| engine.contains(program)).count();
                 let record = leader_state.as_ref().and_then(|state| state.program(program));
                 let ended = record.map(|record| record.ended);
-                self.oracle.check(Guarantee::NoMemoryForGonePrograms, holders == 0, || {
+                self.oracle.check(Guarantee::EngineMemoryFreed, holders == 0, || {
                     format!(
                         "{program} is done, but {holders} engines hold memory for it; recorded end {ended:?}"
                     )
--- a/crates/simulation/src/world/fault_injection.rs
+++ b/crates/simulation/src/world/fault_injection.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Whether committed entries survive the loss of a node: a majority of the latest configuration must hold them on
-    /// other nodes.
+    /// Whether committed entries survive the loss of a node: a majority of the latest configuration must hold
+    /// them on other nodes.
     fn tolerates_loss_of(&self, node: usize) -> bool {
         let is_stopping = self.nodes.iter().any(|sim_node| sim_node.is_stopping || !sim_node.is_up);
         if is_stopping {
@@ -168,7 +168,7 @@
         for call in watched {
             self.calls_at_planned_stop.remove(&call);
             let is_cut = cut.contains(&call);
-            self.oracle.check(Guarantee::PlannedStopCutsNothing, !is_cut, || {
+            self.oracle.check(Guarantee::PlannedStopFinishesCalls, !is_cut, || {
                 format!("{call} was cut by the planned stop of node {node}")
             });
         }
--- a/crates/simulation/tests/guarantees.rs
+++ b/crates/simulation/tests/guarantees.rs
@@ -1,4 +1,5 @@
-//! Checks the guarantees without faults, under single faults, pairs and all faults, and on seeds of past failures.
+//! Checks the guarantees without faults, under single faults, pairs and all faults, and on seeds of past
+//! failures.
 
 use sumacdrift_simulation::{FaultKind, SimulationOptions, SimulationReport, parse_faults, simulate};
 
