--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends chat and service requests and reads whole answers.
+//! A client that sends chat and service requests and reads complete answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,96 +12,89 @@
 use sumacdrift_types::Usage;
 use tokio::time::Instant;
 
-/// How long a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
-/// Largest answer that is read.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A caller with its own connections.
+/// A client with its own connections.
 #[derive(Debug, Clone, Default)]
 pub struct Caller {
     http: HttpClient,
 }
 
-/// One turn as a caller sends it.
+/// A chat completion request.
 #[derive(Debug, Clone, Default)]
+#[allow(missing_docs)]
 pub struct ChatRequest {
-    /// API key.
     pub key: String,
-    /// Model.
     pub model: String,
-    /// Messages.
     pub messages: Vec<Value>,
-    /// Program and turn, where the call belongs to one.
+    /// Program and turn, if the call belongs to a program.
     pub program: Option<(String, Option<u32>)>,
-    /// The program that started it.
+    /// The program that started the call's program.
     pub parent: Option<String>,
-    /// Cap on generated tokens.
+    /// Limit on output tokens.
     pub max_tokens: Option<u64>,
-    /// Whether the messages hold only what is new.
+    /// Whether `messages` contains only the new messages, not the history.
     pub is_append: bool,
 }
 
-/// A refusal or failure as the caller saw it.
+/// A rejection or failure that a node answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Result code; 0 where the body was no problem.
+    /// Result code; 0 if the answer contained no problem document.
     pub code: u32,
-    /// What the system said of whether it ran.
+    /// Whether the call ran, as the problem states it; `missing` if it doesn't.
     pub ran: String,
-    /// The call's id.
+    /// Id of the call; empty if the answer had none.
     pub call: String,
-    /// When to come back.
+    /// Delay before the next attempt, if the problem has one.
     pub retry_after: Option<Duration>,
 }
 
-/// How a chat request ended.
+/// Outcome of a chat request.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub enum ChatOutcome {
-    /// A whole answer.
+    /// A streamed answer.
     Answer {
-        /// The text.
         text: String,
-        /// Tokens as reported at the end.
+        /// Usage that the stream reported.
         usage: Usage,
-        /// Whether the answer came from the history.
+        /// Whether the answer was replayed from the history.
         is_replay: bool,
-        /// Time to the first token.
+        /// Time from the request to the first token.
         first_token: Duration,
-        /// Whether the stream had its end mark.
+        /// Whether the stream contained `[DONE]`.
         is_whole: bool,
     },
-    /// A refusal, before or in the middle of the answer.
+    /// A rejection, before or within the stream.
     Refused(Refusal),
     /// The connection failed.
     Broken {
-        /// Whether it is certain that nothing was sent.
+        /// Whether the request was certainly not sent.
         not_sent: bool,
     },
 }
 
-/// How a service request ended.
+/// Outcome of a service request.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub enum ServiceOutcome {
-    /// An answer.
     Answer {
-        /// HTTP status.
         status: u16,
-        /// Body.
         body: Bytes,
-        /// Whether the answer came from the ledger.
+        /// Whether the answer was replayed from the ledger.
         is_replay: bool,
     },
-    /// A refusal.
     Refused(Refusal),
     /// The connection failed.
     Broken,
 }
 
 impl Caller {
-    /// Sends a turn and reads the streamed answer to its end.
+    /// Sends a chat request and reads the streamed answer to its end.
     pub async fn chat(&self, node: SocketAddr, request: &ChatRequest) -> ChatOutcome {
-        let Some(http_request) = to_http(node, request) else {
+        let Some(http_request) = build_http_request(node, request) else {
             return ChatOutcome::Broken { not_sent: true };
         };
         let started = Instant::now();
@@ -122,7 +115,7 @@
         read_stream(&head.headers, &mut body, started).await
     }
 
-    /// Sends a service request.
+    /// Sends a request to the service `hooks`.
     pub async fn service(
         &self,
         node: SocketAddr,
@@ -152,7 +145,7 @@
         ServiceOutcome::Answer { status, body: response.into_body(), is_replay }
     }
 
-    /// Reads a program's report.
+    /// Reads a program's report, with its messages from `first` on. `None` if that failed.
     pub async fn describe(&self, node: SocketAddr, key: &str, program: &str, first: usize) -> Option<Value> {
         let uri = format!("http://{node}/v1/programs/{program}?first_message={first}");
         let request = Request::get(uri).header("authorization", format!("Bearer {key}"));
@@ -164,7 +157,7 @@
         serde_json::from_slice(response.body()).ok()
     }
 
-    /// Ends a program; whether the system confirmed that.
+    /// Ends a program. Returns whether the node confirmed it.
     pub async fn end_program(&self, node: SocketAddr, key: &str, program: &str) -> bool {
         let uri = format!("http://{node}/v1/programs/{program}");
         let request = Request::delete(uri).header("authorization", format!("Bearer {key}"));
@@ -174,7 +167,7 @@
     }
 }
 
-fn to_http(node: SocketAddr, request: &ChatRequest) -> Option<Request<Full<Bytes>>> {
+fn build_http_request(node: SocketAddr, request: &ChatRequest) -> Option<Request<Full<Bytes>>> {
     let mut body = json!({
         "model": request.model,
         "messages": request.messages,
--- a/crates/bench/src/campaign.rs
+++ b/crates/bench/src/campaign.rs
@@ -8,13 +8,13 @@
 use sumacdrift_guarantees::GuaranteeResult;
 use sumacdrift_simulation::{FaultKind, SimulationOptions, SimulationReport, simulate};
 
-/// Failing runs that are kept whole.
-const KEPT_FAILURES: usize = 5;
+/// Failed runs whose reports are kept.
+const MAX_REPORTED_FAILURES: usize = 5;
 
-/// What to run.
+/// Options of a campaign.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct CampaignOptions {
-    /// First seed.
     pub first_seed: u64,
     /// Number of seeds.
     pub seeds: u64,
@@ -22,40 +22,36 @@
     pub programs: usize,
     /// Kinds of fault in each run.
     pub faults: Vec<FaultKind>,
-    /// Runs at a time.
+    /// Number of concurrent runs.
     pub threads: usize,
 }
 
-/// What all runs showed together. It holds no wall-clock time.
+/// Totals over all runs. The report contains no wall-clock time.
 #[derive(Debug, Clone, Serialize)]
+#[allow(missing_docs)]
 pub struct CampaignReport {
-    /// First seed.
     pub first_seed: u64,
-    /// Runs.
     pub runs: u64,
-    /// Kinds of fault.
+    /// Kinds of fault in each run.
     pub faults: Vec<String>,
-    /// Programs over all runs.
     pub programs: u64,
-    /// Turns answered over all runs.
+    /// Answered turns and service calls.
     pub turns: u64,
-    /// Faults over all runs.
     pub faults_injected: u64,
-    /// Callers that did not come to their end.
+    /// Callers that were not done at the end of their run.
     pub unfinished: u64,
-    /// The guarantees over all runs.
     pub guarantees: Vec<GuaranteeResult>,
-    /// Longest times without a leader, in seconds: percentiles over runs.
+    /// Percentiles, over runs, of the longest time without a serving leader.
     pub longest_without_leader_seconds: BTreeMap<String, f64>,
-    /// Runs in which something was violated or unfinished.
+    /// The first runs with a violation or an unfinished caller.
     pub failures: Vec<SimulationReport>,
-    /// Commands that run the failing seeds again.
+    /// Commands that repeat the runs in `failures`.
     pub replay: Vec<String>,
-    /// Digest over the digests of all runs, in order of seed.
+    /// Digest of the trace hashes of all runs, in order of seed.
     pub trace_hash: String,
 }
 
-/// Runs all seeds.
+/// Runs all seeds in parallel.
 pub fn run(options: &CampaignOptions) -> CampaignReport {
     let next = AtomicU64::new(0);
     let reports: Mutex<BTreeMap<u64, SimulationReport>> = Mutex::default();
@@ -108,7 +104,7 @@
         report.unfinished += run.unfinished as u64;
         gaps.push(run.longest_without_leader_micros);
         add_guarantees(&mut report.guarantees, &run.guarantees);
-        if !run.is_clean() && report.failures.len() < KEPT_FAILURES {
+        if !run.is_clean() && report.failures.len() < MAX_REPORTED_FAILURES {
             let faults = if list.is_empty() { "none".to_owned() } else { list.join(",") };
             report.replay.push(format!(
                 "sumacbench simulate --seed {} --programs {} --faults {faults}",
@@ -147,7 +143,7 @@
         self.unfinished == 0 && self.guarantees.iter().all(|guarantee| guarantee.violated == 0)
     }
 
-    /// The report as a table for a person.
+    /// Formats the report as text.
     pub fn summary(&self) -> String {
         let mut text = format!(
             "{} runs from seed {}: {} programs, {} turns, {} faults, {} unfinished; longest without leader {:?} s\n",
--- a/crates/bench/src/checks.rs
+++ b/crates/bench/src/checks.rs
@@ -1,23 +1,23 @@
-//! The ten guarantees, checked by many tasks at a time against what callers and stand-ins saw.
+//! Counters of checks that concurrent tasks share.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 pub use sumacdrift_guarantees::Guarantee;
 use sumacdrift_guarantees::{GuaranteeResult, Tallies};
 
-/// Collects checks from many tasks.
+/// [`Tallies`] behind a lock.
 #[derive(Debug, Default)]
 pub struct Checks {
     tallies: Mutex<Tallies>,
 }
 
 impl Checks {
-    /// Notes one check. `describe` is called only where the guarantee was violated.
+    /// Counts a check. `describe` is called only for the first violations of a guarantee.
     pub fn check(&self, guarantee: Guarantee, holds: bool, describe: impl FnOnce() -> String) {
         self.lock().check(guarantee, holds, describe);
     }
 
-    /// The results of all ten guarantees.
+    /// The counts of all guarantees.
     pub fn results(&self) -> Vec<GuaranteeResult> {
         self.lock().results()
     }
--- a/crates/bench/src/choices.rs
+++ b/crates/bench/src/choices.rs
@@ -1,4 +1,4 @@
-//! What one choice among engines costs, by the number of engines.
+//! Benchmark of the choice among engines, by the number of engines.
 
 use std::time::{Duration, Instant};
 
@@ -9,40 +9,37 @@
 use sumacdrift_scheduling::HealthSettings;
 use sumacdrift_types::{AllowedRegions, Location, SwitchedOff, Timestamp};
 
-/// Numbers of engines that are measured.
-pub(crate) const ENGINES: [usize; 5] = [12, 400, 3_900, 8_714, 17_428];
-/// Choices that are timed.
-const CHOICES: u32 = 2_000;
-/// Zones over which the engines are spread.
-const ZONES: [&str; 3] = ["a", "b", "c"];
+pub(crate) const ENGINE_COUNTS: [usize; 5] = [12, 400, 3_900, 8_714, 17_428];
+const TIMED_CHOICES: u32 = 2_000;
+const ZONE_NAMES: [&str; 3] = ["a", "b", "c"];
 /// Engines that hold a part of the prompt.
-const HOLDERS: usize = 12;
-/// Engines at which anybody has calls, as far as a node of a large fleet is told.
-const IN_USE: usize = 64;
+const PART_HOLDERS: usize = 12;
+/// Engines in use of which a node of a large fleet is told.
+const ENGINES_IN_USE: usize = 64;
 
-/// What a choice costs.
+/// Cost of a choice.
 #[derive(Debug, Clone, Serialize)]
 pub struct ChoiceSlope {
-    /// Engines of the service.
+    /// Number of engines of the service.
     pub engines: usize,
-    /// Those of them that have calls.
+    /// Number of engines with calls in flight.
     pub in_use: usize,
-    /// Microseconds for a choice.
+    /// Microseconds per choice.
     pub micros: f64,
 }
 
-/// Times choices among so many engines: all of them in use, and only some.
+/// Times choices with all engines in use, and with at most [`ENGINES_IN_USE`].
 pub(crate) fn measure_choices(engines: usize) -> [ChoiceSlope; 2] {
-    [engines, IN_USE.min(engines)].map(|in_use| measure(engines, in_use))
+    [engines, ENGINES_IN_USE.min(engines)].map(|in_use| measure(engines, in_use))
 }
 
 fn measure(engines: usize, in_use: usize) -> ChoiceSlope {
     let now = Timestamp::default() + Duration::from_secs(10);
-    let book = book(engines, in_use, now);
+    let book = build_book(engines, in_use, now);
     let parts = [PartNeed { part: 1, tokens: 2_560 }, PartNeed { part: 2, tokens: 6_000 }];
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut chosen = 0;
-    for key in 0..CHOICES {
+    for key in 0..TIMED_CHOICES {
         let request = PlacementRequest {
             service: "s",
             regions: &AllowedRegions::default(),
@@ -56,12 +53,12 @@
         };
         chosen += usize::from(book.choose(&request, now).is_some());
     }
-    assert_eq!(chosen, CHOICES as usize, "every choice finds an engine");
-    ChoiceSlope { engines, in_use, micros: begun.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES) }
+    assert_eq!(chosen, TIMED_CHOICES as usize, "every choice finds an engine");
+    ChoiceSlope { engines, in_use, micros: started.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_CHOICES) }
 }
 
-/// A book of engines, some of which are in use and partly hold the prompt.
-fn book(engines: usize, in_use: usize, now: Timestamp) -> EngineBook {
+/// A book of engines, of which `in_use` have calls and some hold parts of the prompt.
+fn build_book(engines: usize, in_use: usize, now: Timestamp) -> EngineBook {
     let mut book = EngineBook::new(
         Location::in_zone("a"),
         TrafficPrices::default(),
@@ -70,13 +67,13 @@
     );
     let id = |engine: usize| format!("engine-{engine}");
     for engine in 0..engines {
-        book.upsert(spec(&id(engine), ZONES[engine % ZONES.len()]), now);
+        book.upsert(engine_spec(&id(engine), ZONE_NAMES[engine % ZONE_NAMES.len()]), now);
     }
     book.settle(|_| false, now);
     for engine in 0..in_use {
         book.sent(&EngineId::new(&id(engine)), 100, now);
     }
-    for engine in 0..HOLDERS.min(engines) {
+    for engine in 0..PART_HOLDERS.min(engines) {
         let engine = engine_key(&id(engine));
         book.holds(PartHeld { part: 1, engine, tokens: 2_560 }, now);
     }
@@ -86,7 +83,7 @@
     book
 }
 
-fn spec(id: &str, zone: &str) -> EngineSpec {
+fn engine_spec(id: &str, zone: &str) -> EngineSpec {
     EngineSpec {
         id: EngineId::new(id),
         service: "s".into(),
--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! `sumacbench demo`: a whole fleet with its stand-ins on loopback, a bounded run of programs, faults, checks.
+//! `sumacbench demo`: runs programs and faults on a loopback fleet and checks the guarantees.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -20,34 +20,33 @@
 use crate::program_run::{self, RunContext};
 use crate::{BenchError, Caller, ChatOutcome, ChatRequest, DemoReport, Fleet, FleetPlan, workload};
 
-/// A configuration must be in force everywhere within this time.
+/// Time within which a configuration must reach every node.
 const CONFIGURATION_LIMIT: Duration = Duration::from_secs(4);
-/// A leaving engine may still get work for this long.
+/// How long a leaving engine may still get calls.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
-/// Engines may hold memory of ended programs for this long.
+/// How long engines may hold memory for ended programs.
 const MEMORY_GRACE: Duration = Duration::from_secs(10);
-/// How often generations and memory are looked at.
-const WATCH_PAUSE: Duration = Duration::from_millis(50);
-/// Part of the run in which programs begin.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Share of the run in which programs start.
 const ARRIVAL_SHARE: f64 = 0.6;
-/// Streams that are cut by a faulty engine.
+/// Streams that each engine but the first cuts.
 const CUT_STREAMS: usize = 5;
 /// Hook answers that are lost after the hook ran.
 const LOST_HOOK_ANSWERS: usize = 2;
 
-/// What to run.
+/// Options of the demo.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct DemoOptions {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Length of the run; programs begin in its first part.
+    /// Length of the run.
     pub seconds: u64,
     /// Seed of the programs.
     pub seed: u64,
     /// Number of programs.
     pub programs: usize,
-    /// Whether to show a progress bar.
-    pub shows_progress: bool,
+    pub should_show_progress: bool,
 }
 
 /// Runs the demo.
@@ -57,25 +56,26 @@
     let context = Arc::new(RunContext::new(fleet.addresses.clone()));
     let bar = progress_bar(options);
     let programs = start_programs(options, &context, &bar);
-    let refused = tokio::spawn(refuse_on_purpose(Arc::clone(&context), fleet.addresses[0]));
+    let refused = tokio::spawn(send_rejected_requests(Arc::clone(&context), fleet.addresses[0]));
     let faults = run_faults(options, &mut fleet, &context).await?;
     for program in programs.into_iter().chain([refused]) {
-        // A panic in a program's task is a defect of the bench and shows as a missing program.
+        // A panic in a program's task is a bug of the bench; the program then counts neither as done nor as
+        // failed.
         let _ = program.await;
     }
     bar.finish_and_clear();
     check_memory(&fleet, &context).await;
     check_order(&fleet, &context);
-    check_leaving(&fleet, &context, faults.left_at);
+    check_leaving(&fleet, &context, faults.leaving_since);
     check_not_run(&fleet, &context);
     check_hooks(&fleet, &context);
-    let report = make_report(options, &fleet, &context, faults.in_force_after);
+    let report = build_report(options, &fleet, &context, faults.propagation_time);
     fleet.stop().await;
     Ok(report)
 }
 
 fn progress_bar(options: &DemoOptions) -> ProgressBar {
-    if !options.shows_progress {
+    if !options.should_show_progress {
         return ProgressBar::hidden();
     }
     let bar = ProgressBar::new(options.programs as u64);
@@ -94,7 +94,7 @@
     let caller = Caller::default();
     let mut tasks = Vec::new();
     for number in 0..options.programs {
-        let plan = workload::draw(&mut random, options.seed, number);
+        let plan = workload::draw_program(&mut random, options.seed, number);
         let (context, caller, bar) = (Arc::clone(context), caller.clone(), bar.clone());
         let start = Duration::from_secs_f64(spread * number as f64);
         tasks.push(tokio::spawn(async move {
@@ -106,8 +106,9 @@
     tasks
 }
 
-/// Requests that must be refused without running: wrong model, missing earlier turn.
-async fn refuse_on_purpose(context: Arc<RunContext>, node: SocketAddr) {
+/// Sends requests that must be rejected without running: an unknown model, and a turn without the earlier
+/// ones.
+async fn send_rejected_requests(context: Arc<RunContext>, node: SocketAddr) {
     let caller = Caller::default();
     let request = ChatRequest {
         key: BUILD_FARM_KEY.to_owned(),
@@ -131,23 +132,23 @@
     }
 }
 
-struct Faults {
-    left_at: Timestamp,
-    in_force_after: Duration,
+struct FaultOutcome {
+    leaving_since: Timestamp,
+    propagation_time: Duration,
 }
 
-/// The faults of a run, one after the other.
+/// Injects the faults of a run, one after the other.
 async fn run_faults(
     options: &DemoOptions,
     fleet: &mut Fleet,
     context: &RunContext,
-) -> Result<Faults, BenchError> {
+) -> Result<FaultOutcome, BenchError> {
     let started = Instant::now();
     let at = |share: f64| started + Duration::from_secs_f64(options.seconds as f64 * share);
     tokio::time::sleep_until(at(0.15)).await;
     let generation = fleet.roll_out(&[0])?;
-    let left_at = Timestamp(fleet.origin.elapsed().as_micros() as u64);
-    let in_force_after = watch_generation(fleet, context, generation).await;
+    let leaving_since = Timestamp(fleet.origin.elapsed().as_micros() as u64);
+    let propagation_time = wait_for_generation(fleet, context, generation).await;
 
     fleet.platform.set_faults(|faults| faults.is_down = true);
     fleet.tools.set_faults(|faults| faults.lose_answer = LOST_HOOK_ANSWERS);
@@ -157,44 +158,44 @@
 
     tokio::time::sleep_until(at(0.3)).await;
     let last = options.nodes - 1;
-    planned_stop(fleet, context, last).await;
-    start_again(fleet, last).await?;
+    stop_node(fleet, context, last).await;
+    restart_node(fleet, last).await?;
     fleet.wait_until_ready().await?;
     check_generations(fleet, context, generation);
 
     tokio::time::sleep_until(at(0.6)).await;
-    // Three replicas bear one loss at a time; the next one comes when the last is repaired.
+    // Three replicas tolerate one loss at a time, so the next one follows after the repair.
     fleet.wait_until_repaired().await?;
     if options.nodes >= 3 {
-        kill(fleet, last - 1).await?;
+        kill_node(fleet, last - 1).await?;
     }
     fleet.wait_until_ready().await?;
     check_generations(fleet, context, generation);
     fleet.platform.set_faults(|faults| faults.is_down = false);
-    Ok(Faults { left_at, in_force_after })
+    Ok(FaultOutcome { leaving_since, propagation_time })
 }
 
-/// Stops a node as planned while programs run, and checks that no connection to it broke.
-async fn planned_stop(fleet: &mut Fleet, context: &RunContext, number: usize) {
+/// Stops a node as planned while programs run; every call must finish and no connection break.
+async fn stop_node(fleet: &mut Fleet, context: &RunContext, number: usize) {
     let Some(node) = fleet.nodes[number].take() else { return };
-    let broken_before = context.broken[number].load(Ordering::Relaxed);
+    let broken_before = context.broken_connections[number].load(Ordering::Relaxed);
     let is_clean = node.stop().await;
-    let broken = context.broken[number].load(Ordering::Relaxed) - broken_before;
+    let broken = context.broken_connections[number].load(Ordering::Relaxed) - broken_before;
     context.checks.check(Guarantee::PlannedStopFinishesCalls, is_clean && broken == 0, || {
         format!("planned stop of node {}: every call finished {is_clean}, {broken} broke", number + 1)
     });
 }
 
-/// Kills a node and starts it again with nothing remembered.
-async fn kill(fleet: &mut Fleet, number: usize) -> Result<(), BenchError> {
+/// Kills a node and restarts it without its state.
+async fn kill_node(fleet: &mut Fleet, number: usize) -> Result<(), BenchError> {
     if let Some(node) = fleet.nodes[number].take() {
         node.kill();
     }
-    start_again(fleet, number).await
+    restart_node(fleet, number).await
 }
 
-/// Starts a node on its old addresses, which must be free again first.
-async fn start_again(fleet: &mut Fleet, number: usize) -> Result<(), BenchError> {
+/// Restarts a node on its old addresses, retrying while they are still in use.
+async fn restart_node(fleet: &mut Fleet, number: usize) -> Result<(), BenchError> {
     let mut tries = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -207,38 +208,38 @@
     }
 }
 
-async fn watch_generation(fleet: &Fleet, context: &RunContext, generation: u64) -> Duration {
+async fn wait_for_generation(fleet: &Fleet, context: &RunContext, generation: u64) -> Duration {
     let started = Instant::now();
     let mut highest: BTreeMap<usize, u64> = BTreeMap::new();
     loop {
         let mut is_everywhere = true;
         for (number, node) in fleet.nodes.iter().enumerate() {
             let Some(node) = node else { continue };
-            let present = node.generation();
-            let before = highest.insert(number, present).unwrap_or(0);
-            context.checks.check(Guarantee::ConfigurationApplied, present >= before, || {
-                format!("node {} went back from generation {before} to {present}", number + 1)
+            let current = node.generation();
+            let before = highest.insert(number, current).unwrap_or(0);
+            context.checks.check(Guarantee::ConfigurationApplied, current >= before, || {
+                format!("node {} reverted from generation {before} to {current}", number + 1)
             });
-            is_everywhere &= present >= generation;
+            is_everywhere &= current >= generation;
         }
         let elapsed = started.elapsed();
         if is_everywhere || elapsed > CONFIGURATION_LIMIT {
             context.checks.check(Guarantee::ConfigurationApplied, is_everywhere, || {
-                format!("generation {generation} was not in force everywhere after {elapsed:?}")
+                format!("generation {generation} had not reached every node after {elapsed:?}")
             });
             return elapsed;
         }
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A node that is ready must have the accepted configuration, also after a restart with the platform down.
+/// Ready nodes must have the accepted configuration, also after a restart while the platform is down.
 fn check_generations(fleet: &Fleet, context: &RunContext, generation: u64) {
     for (number, node) in fleet.nodes.iter().enumerate() {
         let Some(node) = node else { continue };
-        let present = node.generation();
-        context.checks.check(Guarantee::ConfigurationApplied, present >= generation, || {
-            format!("node {} is ready with generation {present}, not {generation}", number + 1)
+        let current = node.generation();
+        context.checks.check(Guarantee::ConfigurationApplied, current >= generation, || {
+            format!("node {} is ready with generation {current}, not {generation}", number + 1)
         });
     }
 }
@@ -250,17 +251,17 @@
     let held =
         |program: &ProgramId| -> usize { fleet.engines.iter().map(|engine| engine.held_for(program)).sum() };
     while ended.iter().any(|program| held(program) > 0) && Instant::now() < deadline {
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     for program in &ended {
         let blocks = held(program);
         context.checks.check(Guarantee::EngineMemoryFreed, blocks == 0, || {
-            format!("{program} is gone and {blocks} blocks are held for it")
+            format!("{program} has ended, but engines hold {blocks} blocks for it")
         });
     }
 }
 
-/// Runs of one program must follow each other, with prompts that only grow.
+/// Runs of a program must not overlap, and their prompts must not shrink.
 fn check_order(fleet: &Fleet, context: &RunContext) {
     let mut by_program: BTreeMap<String, Vec<EngineRun>> = BTreeMap::new();
     for run in fleet.trace.runs() {
@@ -280,13 +281,13 @@
     }
 }
 
-fn check_leaving(fleet: &Fleet, context: &RunContext, left_at: Timestamp) {
+fn check_leaving(fleet: &Fleet, context: &RunContext, leaving_since: Timestamp) {
     let leaving = fleet.engines[0].name();
-    let limit = left_at + LEAVING_GRACE;
+    let limit = leaving_since + LEAVING_GRACE;
     let late: Vec<EngineRun> =
         fleet.trace.runs().into_iter().filter(|run| run.engine == *leaving && run.started > limit).collect();
     context.checks.check(Guarantee::NoCallsToLeavingEngines, late.is_empty(), || {
-        format!("{leaving} got {} calls after it left, such as {:?}", late.len(), late.first())
+        format!("{leaving} got {} calls after the grace period, first {:?}", late.len(), late.first())
     });
 }
 
@@ -296,7 +297,9 @@
     let calls = context.results().not_run_calls.clone();
     for call in calls {
         let holds = !ran.contains(&call);
-        context.checks.check(Guarantee::NotRunIsAccurate, holds, || format!("call {call} ran after all"));
+        context.checks.check(Guarantee::NotRunIsAccurate, holds, || {
+            format!("call {call} ran, but was reported as not run")
+        });
     }
 }
 
@@ -314,11 +317,11 @@
     }
 }
 
-fn make_report(
+fn build_report(
     options: &DemoOptions,
     fleet: &Fleet,
     context: &RunContext,
-    in_force_after: Duration,
+    propagation_time: Duration,
 ) -> DemoReport {
     let results = context.results();
     DemoReport {
@@ -333,7 +336,7 @@
         first_token_seconds: results.first_token.percentiles(),
         wasted_cache_fraction: fleet.held.wasted_fraction(),
         refusals: results.refusals.clone(),
-        configuration_in_force_seconds: in_force_after.as_secs_f64(),
+        configuration_in_force_seconds: propagation_time.as_secs_f64(),
         guarantees: context.checks.results(),
     }
 }
--- a/crates/bench/src/feed_answers.rs
+++ b/crates/bench/src/feed_answers.rs
@@ -1,4 +1,4 @@
-//! What an answer of a feed costs that tells one change, by the number of items that the feed holds.
+//! Benchmark of a feed's answer with one change, by the number of items in the feed.
 
 use std::time::{Duration, Instant};
 
@@ -7,23 +7,20 @@
 use sumacdrift_dissemination::{Feed, FollowRequest, Item, ItemKind};
 use sumacdrift_types::Timestamp;
 
-/// Numbers of items that are measured.
-pub(crate) const ITEMS: [usize; 3] = [1_000, 10_000, 20_000];
-/// Answers that are timed.
-const ANSWERS: u32 = 2_000;
-/// Bytes of an engine's entry.
+pub(crate) const ITEM_COUNTS: [usize; 3] = [1_000, 10_000, 20_000];
+const TIMED_ANSWERS: u32 = 2_000;
 const ENTRY_BYTES: usize = 250;
 
-/// What an answer costs.
+/// Cost of an answer.
 #[derive(Debug, Clone, Serialize)]
 pub struct FeedAnswerSlope {
-    /// Items of the feed.
+    /// Number of items in the feed.
     pub items: usize,
-    /// Microseconds for an answer.
+    /// Microseconds per answer.
     pub micros: f64,
 }
 
-/// Times answers to a follower that lacks the newest change.
+/// Times answers to a follower that lacks only the latest change.
 pub(crate) fn measure_feed_answers(items: usize) -> FeedAnswerSlope {
     let now = Timestamp::default() + Duration::from_secs(10);
     let mut feed = Feed::new(1);
@@ -32,10 +29,10 @@
     }
     let request = FollowRequest { life: 1, after: feed.position(), ..FollowRequest::default() };
     feed.put(entry(items / 2, 2));
-    let begun = Instant::now();
-    let told: usize = (0..ANSWERS).map(|_| feed.changes(&request, now).changes.len()).sum();
-    let micros = begun.elapsed().as_secs_f64() * 1e6 / f64::from(ANSWERS);
-    assert_eq!(told, ANSWERS as usize, "every answer tells the change");
+    let started = Instant::now();
+    let changes: usize = (0..TIMED_ANSWERS).map(|_| feed.changes(&request, now).changes.len()).sum();
+    let micros = started.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_ANSWERS);
+    assert_eq!(changes, TIMED_ANSWERS as usize, "every answer contains the change");
     FeedAnswerSlope { items, micros }
 }
 
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback in one process: nodes, engines, a tool service and the object API.
+//! A loopback fleet in one process: nodes, emulated engines, a tool service and the object API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,61 +13,52 @@
 use tokio::runtime::Runtime;
 use tokio::time::Instant;
 
-/// Name of the object that holds the bundle, as the nodes look for it.
+/// Name of the object in which nodes look up the bundle.
 const BUNDLE_OBJECT: &str = "sumacdrift-bundle";
-/// How long a fleet may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often readiness is looked at.
-const READY_PAUSE: Duration = Duration::from_millis(20);
-/// Threads of each node.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Worker threads of each node's runtime.
 const NODE_THREADS: usize = 2;
-/// Key of the build farm's tenant.
 pub const BUILD_FARM_KEY: &str = "build-farm-key-0123456789";
-/// Key of the flood warnings' tenant.
 pub const FLOOD_WARNINGS_KEY: &str = "flood-warnings-key-0123456789";
-/// Key of a tenant whose programs have a tiny budget.
 pub const TINY_BUDGET_KEY: &str = "tiny-budget-key-0123456789";
-/// Output tokens of a program of the tenant with the tiny budget.
+/// Output tokens that a program of the tenant `tiny-budget` may generate.
 pub const TINY_BUDGET_OUTPUT_TOKENS: u64 = 100;
 /// The model that all engines serve.
 pub const MODEL: &str = "emulated-8b";
 
-/// The bench could not set up or run.
+/// A failure to set up or run a benchmark, as opposed to a violation that it found.
 #[derive(Debug, thiserror::Error)]
+#[allow(missing_docs)]
 pub enum BenchError {
-    /// A node did not start.
-    #[error("a node did not start: {0}")]
+    #[error("a node failed to start: {0}")]
     Start(#[from] StartError),
-    /// A stand-in did not start.
-    #[error("a stand-in did not start: {0}")]
-    StandIn(#[from] std::io::Error),
-    /// Settings made here have mistakes.
-    #[error("settings made by the bench have mistakes: {0}")]
+    /// An emulator or a node's runtime failed to start.
+    #[error("an emulator or a runtime failed to start: {0}")]
+    Emulator(#[from] std::io::Error),
+    #[error("the bench generated invalid settings: {0}")]
     Settings(#[from] sumacdrift_config::Mistakes),
-    /// A name made here is not valid.
-    #[error("a name made by the bench is not valid: {0}")]
+    #[error("the bench generated an invalid name: {0}")]
     Name(#[from] InvalidName),
-    /// The object API refused the bundle.
-    #[error("the object API refused the bundle: {0}")]
+    #[error("the object API rejected the bundle: {0}")]
     Store(#[from] StoreError),
-    /// The fleet did not become ready.
+    /// The fleet was not ready or not repaired within this time.
     #[error("the fleet was not ready within {0:?}")]
     NotReady(Duration),
-    /// A report could not be written.
     #[error("the report could not be written: {0}")]
     Report(String),
 }
 
-/// What a fleet consists of.
+/// Size and settings of a fleet.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct FleetPlan {
-    /// Nodes; each in a zone of its own.
+    /// Number of nodes, each in a zone of its own.
     pub nodes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How the engines behave.
     pub engine_settings: EngineSettings,
-    /// Program shards.
+    /// Number of program shards.
     pub shards: u32,
 }
 
@@ -77,7 +68,7 @@
     }
 }
 
-/// A node with a runtime of its own, so that it can be ended as a process is: all tasks and sockets at once.
+/// A node with its own runtime, so that a kill ends all its tasks and sockets at once, as for a process.
 pub struct RunningNode {
     node: Option<Node>,
     runtime: Option<Runtime>,
@@ -92,7 +83,7 @@
         Ok(Self { node: Some(node), runtime: Some(runtime) })
     }
 
-    /// Stops the node as planned; whether every call finished.
+    /// Stops the node as planned. Returns whether every call finished.
     pub async fn stop(mut self) -> bool {
         match self.node.take() {
             Some(node) => node.stop().await,
@@ -100,17 +91,16 @@
         }
     }
 
-    /// Ends the node as a crash does.
+    /// Ends the node as a crash would, without finishing its calls.
     pub fn kill(self) {
         drop(self);
     }
 
-    /// The generation of the configuration in force on the node.
+    /// Generation of the node's current configuration.
     pub fn generation(&self) -> u64 {
         self.node().map_or(0, |node| node.generation().0)
     }
 
-    /// The node itself, until it is stopped.
     fn node(&self) -> Option<&Node> {
         self.node.as_ref()
     }
@@ -119,38 +109,38 @@
 impl Drop for RunningNode {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
-            // A runtime may not be waited for inside another one.
+            // A runtime must not be dropped inside another one, as the drop blocks.
             runtime.shutdown_background();
         }
     }
 }
 
-/// A running fleet with its stand-ins.
+/// A running fleet with its emulators.
+#[allow(missing_docs)]
 pub struct Fleet {
     plan: FleetPlan,
     logger: Logger,
-    /// Nodes; `None` where one is stopped or killed.
+    /// `None` for a node that is stopped or killed.
     pub nodes: Vec<Option<RunningNode>>,
-    /// Callers' addresses of the nodes, fixed over restarts.
+    /// Addresses of the nodes for callers, fixed over restarts.
     pub addresses: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
-    /// Engines.
     pub engines: Vec<EngineServer>,
-    /// The tool service.
+    /// The service `hooks`.
     pub tools: ToolServer,
-    /// The platform.
+    /// The object API.
     pub platform: ObjectServer,
-    /// What the engines saw.
+    /// Runs on the engines.
     pub trace: Trace,
     /// Blocks that engines have held.
     pub held: HeldBlocks,
-    /// Zero of the times in the trace.
+    /// Origin of the times in `trace`.
     pub origin: Instant,
     generation: u64,
 }
 
 impl Fleet {
-    /// Starts everything and waits until every node is ready.
+    /// Starts all parts and waits until every node is ready and every shard repaired.
     pub async fn start(plan: FleetPlan, logger: Logger) -> Result<Self, BenchError> {
         let origin = Instant::now();
         let (trace, held) = (Trace::default(), HeldBlocks::default());
@@ -184,7 +174,7 @@
         Ok(fleet)
     }
 
-    /// Starts a node that was never started, or was stopped or killed.
+    /// Starts the next node, or restarts one that was stopped or killed.
     pub async fn start_node(&mut self, number: usize) -> Result<(), BenchError> {
         let text = self.settings_text(number);
         let settings = Settings::parse("bench", &text)?;
@@ -200,7 +190,7 @@
         Ok(())
     }
 
-    /// Writes the next generation of the bundle, with some engines leaving.
+    /// Writes the next generation of the bundle, with these engines leaving, and returns the generation.
     pub fn roll_out(&mut self, leaving: &[usize]) -> Result<u64, BenchError> {
         self.generation += 1;
         let text = self.bundle_text(leaving);
@@ -212,11 +202,11 @@
     /// Waits until every running node is ready.
     pub async fn wait_until_ready(&self) -> Result<(), BenchError> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        while !self.nodes.iter().flatten().all(|one| one.node().is_some_and(Node::is_ready)) {
+        while !self.nodes.iter().flatten().all(|running| running.node().is_some_and(Node::is_ready)) {
             if Instant::now() > deadline {
                 return Err(BenchError::NotReady(READY_TIMEOUT));
             }
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -235,11 +225,11 @@
             if Instant::now() > deadline {
                 return Err(BenchError::NotReady(READY_TIMEOUT));
             }
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Stops all nodes as planned.
+    /// Stops all nodes as planned, then the emulators.
     pub async fn stop(&mut self) {
         for node in self.nodes.iter_mut() {
             if let Some(node) = node.take() {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, load, experiments and reports.
+//! A demo, simulation campaigns and benchmarks, on emulated engines and services.
 
 mod caller;
 pub mod campaign;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `sumacbench`: stand-ins, load, experiments and reports.
+//! `sumacbench`: a demo, simulation campaigns and benchmarks.
 
 use std::io::IsTerminal;
 use std::process::ExitCode;
@@ -12,9 +12,9 @@
 use sumacdrift_node::{discard_logger, json_logger};
 use sumacdrift_simulation::parse_faults;
 
-/// Exit status where a guarantee was violated or not checked.
+/// Exit status if the report is not clean.
 const EXIT_VIOLATED: u8 = 1;
-/// Exit status where the run itself failed.
+/// Exit status if the run itself failed.
 const EXIT_FAILED: u8 = 3;
 
 fn main() -> ExitCode {
@@ -43,30 +43,32 @@
 fn command() -> Command {
     Command::new("sumacbench")
         .version(clap::crate_version!())
-        .about("Stand-ins, load, experiments and reports for sumacdrift")
+        .about("Demo, simulation campaigns and benchmarks of sumacdrift")
         .subcommand_required(true)
         .subcommand(
             Command::new("demo")
-                .about("A whole fleet on loopback, programs, faults, and the ten guarantees checked")
-                .arg(number("nodes", "3", "Nodes, each in a zone of its own"))
-                .arg(number("seconds", "20", "Length of the run"))
-                .arg(number("seed", "1", "Seed of the programs"))
-                .arg(number("programs", "200", "Number of programs"))
-                .arg(report_flag())
-                .arg(log_flag()),
+                .about("Run programs and faults on a loopback fleet and check the guarantees")
+                .arg(number_arg("nodes", "3", "Nodes, each in a zone of its own"))
+                .arg(number_arg("seconds", "20", "Length of the run, in seconds"))
+                .arg(number_arg("seed", "1", "Seed of the programs"))
+                .arg(number_arg("programs", "200", "Number of programs"))
+                .arg(report_arg())
+                .arg(log_arg()),
         )
         .subcommand(
             Command::new("slopes")
-                .about("What one program, member, message and decision cost, for docs/CAPACITY.md")
-                .arg(report_flag()),
+                .about(
+                    "Measure the costs of programs, membership, messages and decisions, for docs/CAPACITY.md",
+                )
+                .arg(report_arg()),
         )
         .subcommand(
             Command::new("simulate")
-                .about("The real state machines on a virtual clock, with faults, against an oracle")
-                .arg(number("seed", "1", "First seed"))
-                .arg(number("seeds", "1", "Number of seeds"))
-                .arg(number("programs", "20", "Programs in each run"))
-                .arg(number("threads", "8", "Runs at a time"))
+                .about("Simulate the state machines under faults on a virtual clock and check the guarantees")
+                .arg(number_arg("seed", "1", "First seed"))
+                .arg(number_arg("seeds", "1", "Number of seeds"))
+                .arg(number_arg("programs", "20", "Programs in each run"))
+                .arg(number_arg("threads", "8", "Number of concurrent runs"))
                 .arg(
                     Arg::new("faults")
                         .long("faults")
@@ -74,17 +76,17 @@
                         .default_value("all")
                         .help("Kinds of fault, such as crash,pause; all, random or none"),
                 )
-                .arg(report_flag()),
+                .arg(report_arg()),
         )
         .subcommand(
             Command::new("overhead")
-                .about("What the system adds to a call, against calling the engine directly")
-                .arg(report_flag())
-                .arg(log_flag()),
+                .about("Measure the latency and processor time that a node adds to direct calls of an engine")
+                .arg(report_arg())
+                .arg(log_arg()),
         )
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("N")
@@ -93,38 +95,38 @@
         .help(help)
 }
 
-fn report_flag() -> Arg {
+fn report_arg() -> Arg {
     Arg::new("report").long("report").value_name("FILE").help("Write the report as JSON")
 }
 
-fn get(arguments: &ArgMatches, name: &str) -> u64 {
+fn get_number(arguments: &ArgMatches, name: &str) -> u64 {
     arguments.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-fn log_flag() -> Arg {
+fn log_arg() -> Arg {
     Arg::new("log").long("log").action(ArgAction::SetTrue).help("Show the nodes' logs")
 }
 
-fn logger(arguments: &ArgMatches) -> Logger {
+fn build_logger(arguments: &ArgMatches) -> Logger {
     if arguments.get_flag("log") { json_logger(LogLevel::Info) } else { discard_logger() }
 }
 
 async fn run_demo(arguments: &ArgMatches) -> Result<ExitCode, BenchError> {
     let options = DemoOptions {
-        nodes: get(arguments, "nodes").max(1) as usize,
-        seconds: get(arguments, "seconds").max(1),
-        seed: get(arguments, "seed"),
-        programs: get(arguments, "programs").max(1) as usize,
-        shows_progress: std::io::stderr().is_terminal(),
+        nodes: get_number(arguments, "nodes").max(1) as usize,
+        seconds: get_number(arguments, "seconds").max(1),
+        seed: get_number(arguments, "seed"),
+        programs: get_number(arguments, "programs").max(1) as usize,
+        should_show_progress: std::io::stderr().is_terminal(),
     };
-    let report = demo::run(&options, logger(arguments)).await?;
+    let report = demo::run(&options, build_logger(arguments)).await?;
     println!("{}", report.table());
     write_report(arguments, &report)?;
     Ok(if report.is_clean() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_VIOLATED) })
 }
 
 async fn run_overhead(arguments: &ArgMatches) -> Result<ExitCode, BenchError> {
-    let report = overhead::run(logger(arguments)).await?;
+    let report = overhead::run(build_logger(arguments)).await?;
     println!("{}", report.table());
     write_report(arguments, &report)?;
     Ok(ExitCode::SUCCESS)
@@ -147,11 +149,11 @@
         }
     };
     let options = CampaignOptions {
-        first_seed: get(arguments, "seed"),
-        seeds: get(arguments, "seeds").max(1),
-        programs: get(arguments, "programs").max(1) as usize,
+        first_seed: get_number(arguments, "seed"),
+        seeds: get_number(arguments, "seeds").max(1),
+        programs: get_number(arguments, "programs").max(1) as usize,
         faults,
-        threads: get(arguments, "threads").max(1) as usize,
+        threads: get_number(arguments, "threads").max(1) as usize,
     };
     let report = campaign::run(&options);
     eprintln!("{}", report.summary());
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,4 +1,4 @@
-//! `sumacbench overhead`: what the system adds to a call, measured against calling the engine directly.
+//! `sumacbench overhead`: latency and processor time that a node adds to direct calls of an engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,100 +16,91 @@
 use tokio::time::Instant;
 
 use crate::fleet::{BUILD_FARM_KEY, MODEL};
-use crate::statistics::{Percentiles, Times};
+use crate::statistics::{DurationHistogram, Percentiles};
 use crate::{BenchError, Fleet, FleetPlan};
 
-/// Numbers of streams at a time.
+/// Numbers of concurrent streams.
 const CONCURRENCIES: [usize; 3] = [1, 64, 512];
-/// Tokens of each answer.
-const TOKENS: u64 = 50;
-/// Time of an engine's step; about what letter 1 allows between tokens, and the same at every concurrency.
-const STEP: Duration = Duration::from_millis(20);
-/// Rounds in which each target is measured by turns, so that a slow moment hits all of them.
+const TOKENS_PER_ANSWER: u64 = 50;
+/// Duration of an engine's step at every concurrency, about the time that is allowed between tokens.
+const STEP_DURATION: Duration = Duration::from_millis(20);
+/// The targets alternate in rounds, so that a slow period of the machine affects all of them.
 const ROUNDS: usize = 2;
-/// Requests of each stream in a round.
-const REQUESTS_IN_ROUND: usize = 2;
-/// How long one answer may take.
+const REQUESTS_PER_ROUND: usize = 2;
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Clock ticks of the kernel in a second, by which processor time is reported on Linux.
+/// Unit of processor times in `/proc` on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Where a call is sent.
+/// The path of a call to the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// To the engine itself.
+    /// Directly to the engine.
     Direct,
-    /// Through a node, as a call of its own.
+    /// Through a node, as a call outside any program.
     SingleCall,
-    /// Through a node, as a program's turn, which is committed on a majority of three nodes.
+    /// Through a node, as a turn of a program, which is committed on a majority of three nodes.
     ProgramTurn,
 }
 
-/// What was measured at one concurrency and target.
+/// Measurements at one concurrency and target.
 #[derive(Debug, Clone, Serialize)]
-pub struct Measured {
-    /// Streams at a time.
+#[allow(missing_docs)]
+pub struct Measurement {
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Target.
     pub target: Target,
     /// From the request to the first token.
     pub first_token_seconds: Percentiles,
     /// Between tokens.
     pub inter_token_seconds: Percentiles,
-    /// Requests ended a second.
     pub requests_per_second: f64,
-    /// Tokens received a second.
     pub tokens_per_second: f64,
-    /// Processor time of the whole process for a token: caller, node and engine together.
+    /// Processor time of the whole process per token: caller, node and engine together.
     pub cpu_micros_per_token: f64,
-    /// Answers that did not have all their tokens.
+    /// Failed requests and answers with a wrong number of tokens.
     pub incomplete: u64,
 }
 
-/// What the system adds at one concurrency.
+/// Differences to the direct target at one concurrency.
 #[derive(Debug, Clone, Serialize)]
-pub struct Added {
-    /// Streams at a time.
+#[allow(missing_docs)]
+pub struct AddedCost {
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Target.
     pub target: Target,
-    /// Added to the median and 99th percentile of the time to the first token.
     pub first_token_seconds: AddedTime,
-    /// Added to the median and 99th percentile of the time between tokens.
     pub inter_token_seconds: AddedTime,
-    /// Processor time that the nodes spend on a token: the difference to the direct run.
+    /// Processor time that the nodes spend per token.
     pub cpu_micros_per_token: f64,
-    /// Tokens that a core carries a second, from that difference.
+    /// Tokens per second that a node can handle on one core, from `cpu_micros_per_token`.
     pub tokens_per_second_and_core: f64,
 }
 
-/// A difference of percentiles.
+/// Differences of percentiles.
 #[derive(Debug, Clone, Copy, Serialize)]
+#[allow(missing_docs)]
 pub struct AddedTime {
-    /// Of the median.
     pub p50: f64,
-    /// Of the 99th percentile.
     pub p99: f64,
 }
 
-/// The whole measurement.
+/// Result of the benchmark.
 #[derive(Debug, Clone, Serialize)]
+#[allow(missing_docs)]
 pub struct OverheadReport {
-    /// Each run.
-    pub measured: Vec<Measured>,
-    /// Differences to the direct runs.
-    pub added: Vec<Added>,
+    pub measured: Vec<Measurement>,
+    pub added: Vec<AddedCost>,
 }
 
-/// Runs the measurement on three nodes and one engine.
+/// Runs the benchmark on three nodes and one engine.
 pub async fn run(logger: Logger) -> Result<OverheadReport, BenchError> {
     let engine_settings = EngineSettings {
         max_batch: 1024,
         capacity_tokens: 10_000_000,
         prefill_chunk_tokens: 1_000_000,
         prefill_tokens_per_second: 1e7,
-        step_base: STEP,
+        step_base: STEP_DURATION,
         step_per_sequence: Duration::ZERO,
         ..EngineSettings::default()
     };
@@ -120,11 +111,11 @@
         measured.extend(measure_concurrency(&fleet, streams).await);
     }
     fleet.stop().await;
-    let added = added(&measured);
+    let added = compute_added(&measured);
     Ok(OverheadReport { measured, added })
 }
 
-async fn measure_concurrency(fleet: &Fleet, streams: usize) -> Vec<Measured> {
+async fn measure_concurrency(fleet: &Fleet, streams: usize) -> Vec<Measurement> {
     let targets = [Target::Direct, Target::SingleCall, Target::ProgramTurn];
     let mut totals: Vec<Total> = targets.iter().map(|_| Total::default()).collect();
     for round in 0..ROUNDS {
@@ -133,14 +124,14 @@
         }
     }
     let results = targets.into_iter().zip(totals);
-    results.map(|(target, total)| total.into_measured(streams, target)).collect()
+    results.map(|(target, total)| total.into_measurement(streams, target)).collect()
 }
 
-/// What came together over rounds.
+/// Measurements accumulated over requests, streams and rounds.
 #[derive(Default)]
 struct Total {
-    first_token: Times,
-    inter_token: Times,
+    first_token: DurationHistogram,
+    inter_token: DurationHistogram,
     requests: u64,
     tokens: u64,
     incomplete: u64,
@@ -159,9 +150,9 @@
         self.cpu_seconds += other.cpu_seconds;
     }
 
-    fn into_measured(self, streams: usize, target: Target) -> Measured {
+    fn into_measurement(self, streams: usize, target: Target) -> Measurement {
         let seconds = self.wall.as_secs_f64();
-        Measured {
+        Measurement {
             streams,
             target,
             first_token_seconds: self.first_token.percentiles(),
@@ -187,10 +178,10 @@
         let name = format!("overhead-{streams}-{round}-{stream}");
         tasks.push(tokio::spawn(async move {
             barrier.wait().await;
-            // Streams begin spread over one step, as independent callers do.
-            tokio::time::sleep(STEP.mul_f64(stream as f64 / streams as f64)).await;
+            // Streams start spread over one step, as those of independent callers.
+            tokio::time::sleep(STEP_DURATION.mul_f64(stream as f64 / streams as f64)).await;
             let mut total = Total::default();
-            for request in 0..REQUESTS_IN_ROUND {
+            for request in 0..REQUESTS_PER_ROUND {
                 let program = format!("{name}-{request}");
                 read_answer(&http, address, target, &program, &mut total).await;
             }
@@ -232,24 +223,24 @@
     }
     total.requests += 1;
     total.tokens += tokens;
-    total.incomplete += u64::from(tokens != TOKENS);
+    total.incomplete += u64::from(tokens != TOKENS_PER_ANSWER);
 }
 
-/// Tokens in a piece of a stream, found without parsing it, so that the caller costs little.
+/// Counts the tokens in a piece of a stream without parsing it, to keep the caller's processor time low.
 fn count_tokens(piece: &[u8]) -> usize {
     const MARK: &[u8] = b"\"content\":\"";
     let starts = piece.windows(MARK.len() + 1).filter(|window| window.starts_with(MARK));
-    // The node's first piece has an empty content for the role.
+    // The node's first event contains the role and an empty content.
     starts.filter(|window| window[MARK.len()] != b'"').count()
 }
 
 fn to_request(address: SocketAddr, target: Target, name: &str) -> Option<Request<Full<Bytes>>> {
-    let content = format!("{name}: measure this [[tokens={TOKENS}]]");
+    let content = format!("{name}: measure this [[tokens={TOKENS_PER_ANSWER}]]");
     let body = json!({
         "model": MODEL,
         "messages": [{"role": "user", "content": content}],
         "stream": true,
-        "max_tokens": TOKENS,
+        "max_tokens": TOKENS_PER_ANSWER,
     });
     let mut builder = Request::post(format!("http://{address}/v1/chat/completions"))
         .header("content-type", "application/json")
@@ -260,27 +251,27 @@
     builder.body(Full::new(Bytes::from(body.to_string()))).ok()
 }
 
-/// Processor time of this process so far, user and system.
+/// User and system time of this process so far.
 pub(crate) fn cpu_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // Fields are counted from behind the command's name, which may hold spaces.
+    // The fields are counted after the command's name, which may contain spaces.
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |position: usize| fields.get(position).and_then(|field| field.parse::<f64>().ok());
     (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / TICKS_PER_SECOND
 }
 
-fn added(measured: &[Measured]) -> Vec<Added> {
+fn compute_added(measured: &[Measurement]) -> Vec<AddedCost> {
     let mut added = Vec::new();
-    for one in measured.iter().filter(|one| one.target != Target::Direct) {
+    for result in measured.iter().filter(|result| result.target != Target::Direct) {
         let direct =
-            measured.iter().find(|other| other.target == Target::Direct && other.streams == one.streams);
+            measured.iter().find(|other| other.target == Target::Direct && other.streams == result.streams);
         let Some(direct) = direct else { continue };
-        let cpu = one.cpu_micros_per_token - direct.cpu_micros_per_token;
-        added.push(Added {
-            streams: one.streams,
-            target: one.target,
-            first_token_seconds: difference(one.first_token_seconds, direct.first_token_seconds),
-            inter_token_seconds: difference(one.inter_token_seconds, direct.inter_token_seconds),
+        let cpu = result.cpu_micros_per_token - direct.cpu_micros_per_token;
+        added.push(AddedCost {
+            streams: result.streams,
+            target: result.target,
+            first_token_seconds: difference(result.first_token_seconds, direct.first_token_seconds),
+            inter_token_seconds: difference(result.inter_token_seconds, direct.inter_token_seconds),
             cpu_micros_per_token: cpu,
             tokens_per_second_and_core: 1e6 / cpu.max(f64::MIN_POSITIVE),
         });
@@ -288,12 +279,12 @@
     added
 }
 
-fn difference(one: Percentiles, direct: Percentiles) -> AddedTime {
-    AddedTime { p50: one.p50 - direct.p50, p99: one.p99 - direct.p99 }
+fn difference(result: Percentiles, direct: Percentiles) -> AddedTime {
+    AddedTime { p50: result.p50 - direct.p50, p99: result.p99 - direct.p99 }
 }
 
 impl OverheadReport {
-    /// The report as a table for a person.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut table = format!(
             "{:>7} {:<12} {:>12} {:>12} {:>12} {:>12} {:>10} {:>10} {:>6}\n",
@@ -307,34 +298,34 @@
             "cpu us/tok",
             "short",
         );
-        for one in &self.measured {
+        for result in &self.measured {
             let milliseconds = |seconds: f64| format!("{:.3} ms", seconds * 1e3);
             table.push_str(&format!(
                 "{:>7} {:<12} {:>12} {:>12} {:>12} {:>12} {:>10.0} {:>10.2} {:>6}\n",
-                one.streams,
-                format!("{:?}", one.target),
-                milliseconds(one.first_token_seconds.p50),
-                milliseconds(one.first_token_seconds.p99),
-                milliseconds(one.inter_token_seconds.p50),
-                milliseconds(one.inter_token_seconds.p99),
-                one.tokens_per_second,
-                one.cpu_micros_per_token,
-                one.incomplete,
+                result.streams,
+                format!("{:?}", result.target),
+                milliseconds(result.first_token_seconds.p50),
+                milliseconds(result.first_token_seconds.p99),
+                milliseconds(result.inter_token_seconds.p50),
+                milliseconds(result.inter_token_seconds.p99),
+                result.tokens_per_second,
+                result.cpu_micros_per_token,
+                result.incomplete,
             ));
         }
         table.push_str("\nadded by the system\n");
-        for one in &self.added {
+        for result in &self.added {
             table.push_str(&format!(
                 "{:>7} {:<12} first {:+.3}/{:+.3} ms (p50/p99)  between {:+.3}/{:+.3} ms  {:.2} us/token  \
                  {:.0} tokens/s and core\n",
-                one.streams,
-                format!("{:?}", one.target),
-                one.first_token_seconds.p50 * 1e3,
-                one.first_token_seconds.p99 * 1e3,
-                one.inter_token_seconds.p50 * 1e3,
-                one.inter_token_seconds.p99 * 1e3,
-                one.cpu_micros_per_token,
-                one.tokens_per_second_and_core,
+                result.streams,
+                format!("{:?}", result.target),
+                result.first_token_seconds.p50 * 1e3,
+                result.first_token_seconds.p99 * 1e3,
+                result.inter_token_seconds.p50 * 1e3,
+                result.inter_token_seconds.p99 * 1e3,
+                result.cpu_micros_per_token,
+                result.tokens_per_second_and_core,
             ));
         }
         table
--- a/crates/bench/src/program_run.rs
+++ b/crates/bench/src/program_run.rs
@@ -1,4 +1,4 @@
-//! Runs one program as a careful caller does: turn by turn, repeating on another node what got no whole answer.
+//! Runs a program turn by turn; a turn without a complete answer is retried on another node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,65 +13,60 @@
 
 use crate::checks::{Checks, Guarantee};
 use crate::fleet::MODEL;
-use crate::statistics::Times;
+use crate::statistics::DurationHistogram;
 use crate::workload::{ProgramKind, ProgramPlan, TurnPlan};
 use crate::{Caller, ChatOutcome, ChatRequest, Refusal, ServiceOutcome};
 
-/// Tries for one turn before the program is given up.
-const MAX_TRIES: usize = 60;
-/// Longest pause between two tries.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
-/// Pause after a broken connection.
-const BROKEN_PAUSE: Duration = Duration::from_millis(100);
-/// Cap on generated tokens that callers ask for.
+/// Attempts of a request before it is given up.
+const MAX_ATTEMPTS: usize = 60;
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Retry delay if the node gave none.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Limit on output tokens per request.
 const MAX_TOKENS: u64 = 512;
 
-/// What all programs share.
+/// State shared by all programs.
 pub struct RunContext {
-    /// Callers' addresses of the nodes.
+    /// Addresses of the nodes for callers.
     pub nodes: Vec<SocketAddr>,
-    /// The checks.
     pub checks: Checks,
-    /// Results.
     pub results: Mutex<Results>,
-    /// Next node to try; programs spread over the nodes by turns.
+    /// Round-robin counter over the nodes.
     pub next_node: AtomicUsize,
-    /// Connections that broke, by node.
-    pub broken: Vec<AtomicU64>,
+    /// Broken connections, by node.
+    pub broken_connections: Vec<AtomicU64>,
 }
 
-/// What came together over all programs.
+/// Results of all programs.
 #[derive(Debug, Default)]
 pub struct Results {
-    pub(crate) latency: Times,
-    pub(crate) first_token: Times,
+    pub(crate) latency: DurationHistogram,
+    pub(crate) first_token: DurationHistogram,
     pub(crate) turns: u64,
     pub(crate) replays: u64,
     pub(crate) done: usize,
     pub(crate) failed: usize,
     pub(crate) refusals: BTreeMap<u32, u64>,
-    /// Refusals that said "not run".
+    /// Calls that were reported as not run.
     pub(crate) not_run_calls: Vec<String>,
-    /// Keys of calls that may run only once, with the number of answers seen.
+    /// Idempotency keys of hooks, which must run at most once.
     pub(crate) hook_keys: Vec<String>,
-    /// Programs that were ended.
+    /// Names of ended programs and of their sub-agents.
     pub(crate) ended: Vec<String>,
 }
 
 impl RunContext {
-    /// A context for programs that call these nodes.
     pub fn new(nodes: Vec<SocketAddr>) -> Self {
-        let broken = nodes.iter().map(|_| AtomicU64::new(0)).collect();
+        let broken_connections = nodes.iter().map(|_| AtomicU64::new(0)).collect();
         Self {
             nodes,
             checks: Checks::default(),
             results: Mutex::default(),
             next_node: AtomicUsize::new(0),
-            broken,
+            broken_connections,
         }
     }
 
-    /// The results so far.
     pub fn results(&self) -> MutexGuard<'_, Results> {
         self.results.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -80,7 +75,7 @@
         self.next_node.fetch_add(1, Ordering::Relaxed) % self.nodes.len()
     }
 
-    fn note_refusal(&self, refusal: &Refusal) {
+    fn record_rejection(&self, refusal: &Refusal) {
         let mut results = self.results();
         *results.refusals.entry(refusal.code).or_default() += 1;
         if refusal.ran == "no" && !refusal.call.is_empty() {
@@ -89,8 +84,8 @@
     }
 }
 
-/// How a turn ended after all tries.
-enum TurnEnd {
+/// Outcome of a turn after all attempts.
+enum TurnOutcome {
     Answered(String),
     BudgetExhausted,
     GivenUp,
@@ -101,9 +96,9 @@
     let started = Instant::now();
     let mut run = ProgramRun { context, caller, plan, messages: Vec::new() };
     run.messages.push(json!({"role": "system", "content": plan.system}));
-    let is_done = run.turns().await;
+    let is_done = run.run_turns().await;
     run.check_history().await;
-    let is_ended = run.end().await;
+    let is_ended = run.end_program().await;
     let mut results = context.results();
     if is_done {
         results.done += 1;
@@ -120,26 +115,26 @@
     context: &'a RunContext,
     caller: &'a Caller,
     plan: &'a ProgramPlan,
-    /// The history as the caller knows it.
+    /// The history as known to the caller.
     messages: Vec<Value>,
 }
 
 impl ProgramRun<'_> {
-    async fn turns(&mut self) -> bool {
+    async fn run_turns(&mut self) -> bool {
         for (number, turn) in self.plan.turns.iter().enumerate() {
             tokio::time::sleep(Duration::from_millis(turn.pause_millis)).await;
-            match self.turn(number as u32, turn).await {
-                TurnEnd::Answered(_) => {}
-                TurnEnd::BudgetExhausted => {
+            match self.run_turn(number as u32, turn).await {
+                TurnOutcome::Answered(_) => {}
+                TurnOutcome::BudgetExhausted => {
                     let expected = self.plan.kind == ProgramKind::Runaway;
                     self.context.checks.check(Guarantee::BudgetEnforced, expected, || {
-                        format!("{} ran out of a large budget", self.plan.name)
+                        format!("{} exhausted a large budget", self.plan.name)
                     });
                     return true;
                 }
-                TurnEnd::GivenUp => return false,
+                TurnOutcome::GivenUp => return false,
             }
-            if turn.has_sub_agent && !self.sub_agent(number).await {
+            if turn.has_sub_agent && !self.run_sub_agent(number).await {
                 return false;
             }
         }
@@ -148,10 +143,10 @@
                 format!("{} was never stopped by its budget", self.plan.name)
             });
         }
-        !self.plan.has_hook || self.hook().await
+        !self.plan.has_hook || self.run_hook().await
     }
 
-    async fn turn(&mut self, number: u32, turn: &TurnPlan) -> TurnEnd {
+    async fn run_turn(&mut self, number: u32, turn: &TurnPlan) -> TurnOutcome {
         let user = json!({"role": "user", "content": turn.message});
         let new_from = if number == 0 { 0 } else { self.messages.len() };
         self.messages.push(user);
@@ -169,14 +164,14 @@
             is_append: self.plan.is_append,
         };
         let end = if turn.is_doubled {
-            let (first, second) = tokio::join!(self.answered(&request), self.answered(&request));
-            self.check_same(&first, &second);
+            let (first, second) = tokio::join!(self.send_turn(&request), self.send_turn(&request));
+            self.check_same_answer(&first, &second);
             first
         } else {
-            self.answered(&request).await
+            self.send_turn(&request).await
         };
         match &end {
-            TurnEnd::Answered(text) => {
+            TurnOutcome::Answered(text) => {
                 self.check_answer(text);
                 self.messages.push(json!({"role": "assistant", "content": text}));
             }
@@ -187,49 +182,56 @@
         end
     }
 
-    fn check_same(&self, first: &TurnEnd, second: &TurnEnd) {
-        if let (TurnEnd::Answered(first), TurnEnd::Answered(second)) = (first, second) {
+    fn check_same_answer(&self, first: &TurnOutcome, second: &TurnOutcome) {
+        if let (TurnOutcome::Answered(first), TurnOutcome::Answered(second)) = (first, second) {
             self.context.checks.check(Guarantee::CompleteAnswers, first == second, || {
-                format!("{}: two requests for one turn got two answers", self.plan.name)
+                format!("{}: two requests for one turn got different answers", self.plan.name)
             });
         }
     }
 
-    /// Sends a turn until it is answered, to another node after each failure.
-    async fn answered(&self, request: &ChatRequest) -> TurnEnd {
+    /// Sends a turn until it is answered, with each attempt to another node.
+    async fn send_turn(&self, request: &ChatRequest) -> TurnOutcome {
         let mut node = self.context.pick_node();
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.caller.chat(self.context.nodes[node], request).await {
                 ChatOutcome::Answer { text, usage, is_replay, first_token, is_whole } => {
-                    self.note_answer(&text, usage, is_replay, first_token, is_whole);
+                    self.record_answer(&text, usage, is_replay, first_token, is_whole);
                     if is_whole {
-                        return TurnEnd::Answered(text);
+                        return TurnOutcome::Answered(text);
                     }
                 }
                 ChatOutcome::Refused(refusal) => {
-                    self.context.note_refusal(&refusal);
+                    self.context.record_rejection(&refusal);
                     if refusal.code == ResultCode::BudgetExhausted.number() {
-                        return TurnEnd::BudgetExhausted;
+                        return TurnOutcome::BudgetExhausted;
                     }
                     if is_final(refusal.code) {
-                        return TurnEnd::GivenUp;
+                        return TurnOutcome::GivenUp;
                     }
-                    let pause = refusal.retry_after.unwrap_or(BROKEN_PAUSE);
-                    tokio::time::sleep(pause.min(MAX_PAUSE)).await;
+                    let pause = refusal.retry_after.unwrap_or(RETRY_DELAY);
+                    tokio::time::sleep(pause.min(MAX_RETRY_DELAY)).await;
                 }
                 ChatOutcome::Broken { not_sent } => {
                     if !not_sent {
-                        self.context.broken[node].fetch_add(1, Ordering::Relaxed);
+                        self.context.broken_connections[node].fetch_add(1, Ordering::Relaxed);
                     }
-                    tokio::time::sleep(BROKEN_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             node = (node + 1) % self.context.nodes.len();
         }
-        TurnEnd::GivenUp
+        TurnOutcome::GivenUp
     }
 
-    fn note_answer(&self, text: &str, usage: Usage, is_replay: bool, first_token: Duration, is_whole: bool) {
+    fn record_answer(
+        &self,
+        text: &str,
+        usage: Usage,
+        is_replay: bool,
+        first_token: Duration,
+        is_whole: bool,
+    ) {
         let mut results = self.context.results();
         results.turns += 1;
         if is_replay {
@@ -242,22 +244,22 @@
         let holds = is_whole && tokens == usage.output_tokens;
         self.context.checks.check(Guarantee::CompleteAnswers, holds, || {
             let name = &self.plan.name;
-            format!("{name}: whole {is_whole}, {tokens} tokens seen, {} reported", usage.output_tokens)
+            format!("{name}: complete {is_whole}, {tokens} tokens received, {} reported", usage.output_tokens)
         });
     }
 
-    /// The answer is a function of the right history; any other answer shows a lost or mixed one.
+    /// Checks an answer against the history: engines answer by a function of the history.
     fn check_answer(&self, text: &str) {
         let prompt = Prompt::from_messages(&self.messages);
         let is_runaway = self.plan.kind == ProgramKind::Runaway;
         let expected = answer_text(&prompt, output_length(&prompt, MAX_TOKENS));
         let holds = if is_runaway { expected.starts_with(text) } else { expected == text };
         self.context.checks.check(Guarantee::HistoryPreserved, holds, || {
-            format!("{}: the answer does not follow from the history", self.plan.name)
+            format!("{}: the answer doesn't match the history", self.plan.name)
         });
     }
 
-    async fn sub_agent(&self, number: usize) -> bool {
+    async fn run_sub_agent(&self, number: usize) -> bool {
         let name = format!("{}-sub-{number}", self.plan.name);
         let messages = vec![json!({"role": "user", "content": format!("look into {name} [[tokens=20]]")})];
         let request = ChatRequest {
@@ -269,24 +271,24 @@
             max_tokens: Some(MAX_TOKENS),
             is_append: false,
         };
-        let TurnEnd::Answered(text) = self.answered(&request).await else { return false };
+        let TurnOutcome::Answered(text) = self.send_turn(&request).await else { return false };
         let prompt = Prompt::from_messages(&messages);
         let expected = answer_text(&prompt, output_length(&prompt, MAX_TOKENS));
         self.context.checks.check(Guarantee::HistoryPreserved, text == expected, || {
-            format!("{name}: the answer does not follow from the history")
+            format!("{name}: the answer doesn't match the history")
         });
-        // The sub-agent is left to its parent's end, which must end it too.
+        // The sub-agent isn't ended here: the end of its parent must end it too.
         self.context.results().ended.push(name);
         true
     }
 
-    /// A call that may run only once, sent at least twice by a caller that fears for its answer.
-    async fn hook(&self) -> bool {
+    /// Sends a call that must run at most once, and repeats it after the first answer.
+    async fn run_hook(&self) -> bool {
         let key = format!("{}-hook", self.plan.name);
         self.context.results().hook_keys.push(key.clone());
         let body = format!("{{\"program\":\"{}\"}}", self.plan.name);
         let mut answers = 0;
-        for attempt in 0..MAX_TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let node = self.context.nodes[self.context.pick_node()];
             match self.caller.service(node, self.plan.key, "/sign", Some(&key), &body).await {
                 ServiceOutcome::Answer { is_replay, .. } => {
@@ -297,14 +299,14 @@
                     }
                 }
                 ServiceOutcome::Refused(refusal) => {
-                    self.context.note_refusal(&refusal);
-                    // An unknown outcome stays unknown; a person has to look.
+                    self.context.record_rejection(&refusal);
+                    // An unknown outcome stays unknown, so further attempts are of no use.
                     if refusal.code == ResultCode::OutcomeUnknown.number() && attempt > 0 {
                         return true;
                     }
-                    tokio::time::sleep(refusal.retry_after.unwrap_or(BROKEN_PAUSE).min(MAX_PAUSE)).await;
+                    tokio::time::sleep(refusal.retry_after.unwrap_or(RETRY_DELAY).min(MAX_RETRY_DELAY)).await;
                 }
-                ServiceOutcome::Broken => tokio::time::sleep(BROKEN_PAUSE).await,
+                ServiceOutcome::Broken => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         false
@@ -313,12 +315,12 @@
     /// Compares the recorded history with the caller's.
     async fn check_history(&self) {
         let mut recorded = Vec::new();
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let node = self.context.nodes[self.context.pick_node()];
             let first = recorded.len();
             let report = self.caller.describe(node, self.plan.key, &self.plan.name, first).await;
             let Some(report) = report else {
-                tokio::time::sleep(BROKEN_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             self.check_budget(&report);
@@ -347,19 +349,19 @@
         }
     }
 
-    async fn end(&self) -> bool {
-        for _ in 0..MAX_TRIES {
+    async fn end_program(&self) -> bool {
+        for _ in 0..MAX_ATTEMPTS {
             let node = self.context.nodes[self.context.pick_node()];
             if self.caller.end_program(node, self.plan.key, &self.plan.name).await {
                 return true;
             }
-            tokio::time::sleep(BROKEN_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         false
     }
 }
 
-/// Whether a repetition can't help.
+/// Whether a retry can't succeed.
 fn is_final(code: u32) -> bool {
     (1000..3000).contains(&code) && code != ResultCode::TenantLimit.number()
         || code == ResultCode::HistoryMismatch.number()
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports as JSON and as a table.
+//! The report of the demo.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,33 @@
 
 use crate::statistics::Percentiles;
 
-/// What a demo run showed.
+/// Result of a demo run.
 #[derive(Debug, Clone, Serialize)]
+#[allow(missing_docs)]
 pub struct DemoReport {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
     /// Seed of the programs.
     pub seed: u64,
-    /// Programs started.
     pub programs_started: usize,
-    /// Programs that came to their regular end.
+    /// Programs that ran all their turns or exhausted their budget.
     pub programs_done: usize,
-    /// Programs given up after too many refusals.
+    /// Programs that were given up.
     pub programs_failed: usize,
-    /// Turns answered.
+    /// Answered turns.
     pub turns: u64,
-    /// Answers given again from the history or the ledger.
+    /// Answers replayed from the history or the ledger.
     pub replays: u64,
-    /// From a program's first request to its last answer.
+    /// From the start of a program to its end.
     pub program_latency_seconds: Percentiles,
     /// From a turn's request to its first token.
     pub first_token_seconds: Percentiles,
-    /// Share of prompt tokens that were computed again though some engine had held them.
+    /// Share of prompt tokens that were recomputed although some engine had held them.
     pub wasted_cache_fraction: f64,
-    /// Refusals by result code.
+    /// Rejections by result code.
     pub refusals: BTreeMap<u32, u64>,
-    /// Time until a new configuration was in force on every node, in seconds.
+    /// Time until a new configuration had reached every node.
     pub configuration_in_force_seconds: f64,
-    /// The ten guarantees.
     pub guarantees: Vec<GuaranteeResult>,
 }
 
@@ -44,7 +43,7 @@
         self.guarantees.iter().all(|guarantee| guarantee.checked > 0 && guarantee.violated == 0)
     }
 
-    /// The report as a table for a person.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let latency = self.program_latency_seconds;
         let first = self.first_token_seconds;
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! `sumacbench slopes`: what one program, member, message and decision cost, for `docs/CAPACITY.md`.
+//! `sumacbench slopes`: costs of programs, membership, messages and decisions, for `docs/CAPACITY.md`.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,88 +15,86 @@
     ShardId, TenantName, Timestamp, TurnNumber, Usage, ZoneName,
 };
 
-use crate::choices::{ChoiceSlope, ENGINES, measure_choices};
-use crate::feed_answers::{FeedAnswerSlope, ITEMS, measure_feed_answers};
+use crate::choices::{ChoiceSlope, ENGINE_COUNTS, measure_choices};
+use crate::feed_answers::{FeedAnswerSlope, ITEM_COUNTS, measure_feed_answers};
 
-/// Turns of the programs that are measured.
-const TURNS: [u32; 3] = [10, 100, 510];
-/// Bytes of text that a turn adds; 510 turns make about 120,000 tokens.
+/// Turns per program.
+const TURN_COUNTS: [u32; 3] = [10, 100, 510];
+/// Bytes of text per turn; 510 turns make about 120,000 tokens.
 const TURN_BYTES: usize = 940;
-/// Tokens of all programs together, so that each measurement takes about the same memory.
+/// Turns of all programs together, so that each measurement takes about the same memory.
 const TOTAL_TURNS: u32 = 51_000;
-/// Sizes of fleet that are measured.
-const FLEETS: [usize; 4] = [50, 100, 200, 410];
-/// Virtual time for which membership runs.
-const MEMBERSHIP_TIME: Duration = Duration::from_secs(60);
-/// Virtual time in which a fleet comes together before it is measured.
+/// Numbers of nodes.
+const FLEET_SIZES: [usize; 4] = [50, 100, 200, 410];
+/// Virtual time over which membership is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(60);
+/// Virtual time in which membership converges before it is measured.
 const WARM_UP: Duration = Duration::from_secs(240);
-/// Numbers of waiting calls with which a bid is timed.
-const QUEUES: [usize; 3] = [0, 10, 1000];
+/// Numbers of queued calls.
+const QUEUE_LENGTHS: [usize; 3] = [0, 10, 1000];
 
-/// What programs cost.
+/// Cost of a program.
 #[derive(Debug, Clone, Serialize)]
 pub struct ProgramSlope {
-    /// Turns of each program.
+    /// Turns of the program.
     pub turns: u32,
-    /// Resident bytes that one program adds to a replica.
+    /// Resident memory that the program adds to a replica.
     pub resident_bytes: u64,
-    /// Bytes of its text.
+    /// Text of its messages.
     pub text_bytes: u64,
-    /// Bytes that its entries take in the replicated log, all turns together.
+    /// Its entries in the replicated log, all turns together.
     pub log_bytes: u64,
-    /// Microseconds of processor time for a turn at the leader of a group of one: admission, commit, encoding.
+    /// Time per turn at the leader of a group of one: admission, commit, encoding.
     pub micros_per_turn: f64,
 }
 
-/// What membership costs a node.
+/// Cost of membership per node.
 #[derive(Debug, Clone, Serialize)]
+#[allow(missing_docs)]
 pub struct MembershipSlope {
-    /// Nodes.
+    /// Size of the fleet.
     pub nodes: usize,
-    /// Bytes that a node sends a second.
+    /// Sent by the node.
     pub bytes_per_second: f64,
-    /// Messages that a node sends a second.
+    /// Sent by the node.
     pub messages_per_second: f64,
-    /// Microseconds of processor time a second.
+    /// Time of the node's detector per second of virtual time.
     pub micros_per_second: f64,
 }
 
-/// What a bid costs.
+/// Cost of a bid.
 #[derive(Debug, Clone, Serialize)]
 pub struct BidSlope {
-    /// Calls that wait at the engine.
+    /// Calls queued at the engine.
     pub queued: usize,
-    /// Microseconds for a bid.
+    /// Microseconds per bid.
     pub micros: f64,
 }
 
-/// All slopes.
+/// Results of all measurements.
 #[derive(Debug, Clone, Serialize)]
+#[allow(missing_docs)]
 pub struct SlopeReport {
-    /// Programs.
     pub programs: Vec<ProgramSlope>,
-    /// Membership.
     pub membership: Vec<MembershipSlope>,
-    /// Bids.
     pub bids: Vec<BidSlope>,
     /// Choices among engines at an edge.
     pub choices: Vec<ChoiceSlope>,
-    /// Answers of a feed.
     pub feed_answers: Vec<FeedAnswerSlope>,
-    /// Bytes of a replication heartbeat on the wire.
+    /// Size of a replication heartbeat with its frame.
     pub heartbeat_bytes: usize,
 }
 
-/// Measures everything.
+/// Runs all measurements.
 pub fn run() -> Result<SlopeReport, InvalidName> {
-    let mut kept = Vec::new();
-    let programs = TURNS.into_iter().map(|turns| measure_programs(turns, &mut kept));
+    let mut kept_shards = Vec::new();
+    let programs = TURN_COUNTS.into_iter().map(|turns| measure_programs(turns, &mut kept_shards));
     Ok(SlopeReport {
         programs: programs.collect::<Result<_, _>>()?,
-        membership: FLEETS.into_iter().map(measure_membership).collect::<Result<_, _>>()?,
-        bids: QUEUES.into_iter().map(measure_bids).collect::<Result<_, _>>()?,
-        choices: ENGINES.into_iter().flat_map(measure_choices).collect(),
-        feed_answers: ITEMS.into_iter().map(measure_feed_answers).collect(),
+        membership: FLEET_SIZES.into_iter().map(measure_membership).collect::<Result<_, _>>()?,
+        bids: QUEUE_LENGTHS.into_iter().map(measure_bids).collect::<Result<_, _>>()?,
+        choices: ENGINE_COUNTS.into_iter().flat_map(measure_choices).collect(),
+        feed_answers: ITEM_COUNTS.into_iter().map(measure_feed_answers).collect(),
         heartbeat_bytes: heartbeat_bytes(),
     })
 }
@@ -112,8 +110,9 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Runs programs on a shard. Shards are kept, since memory that one gives back would hide what the next takes.
-fn measure_programs(turns: u32, kept: &mut Vec<ProgramShard>) -> Result<ProgramSlope, InvalidName> {
+/// Runs programs on a new shard. The shard is kept, since memory that it frees would hide what the next
+/// allocates.
+fn measure_programs(turns: u32, kept_shards: &mut Vec<ProgramShard>) -> Result<ProgramSlope, InvalidName> {
     let resident_before = resident_bytes();
     let own = replica(1);
     let configuration = Configuration::of_voters([own]);
@@ -136,7 +135,7 @@
     }
     let micros_per_turn = started.elapsed().as_secs_f64() * 1e6 / f64::from(programs * turns);
     let resident = resident_bytes().saturating_sub(resident_before);
-    kept.push(shard);
+    kept_shards.push(shard);
     Ok(ProgramSlope {
         turns,
         resident_bytes: resident / u64::from(programs),
@@ -189,7 +188,7 @@
             reason: String::new(),
         };
         for command in [Command::BeginTurn(Box::new(begin)), Command::FinishTurn(Box::new(finish))] {
-            // A group of one leads from its first election on, so nothing is refused here.
+            // A group of one keeps its leader, so no command is rejected.
             let _ = shard.command(command, now);
             shard.take_outputs();
         }
@@ -208,8 +207,8 @@
     let step = Duration::from_millis(50);
     let warm_up = run_membership(&mut detectors, &mut now, step, WARM_UP);
     let started = Instant::now();
-    let steady = run_membership(&mut detectors, &mut now, step, MEMBERSHIP_TIME);
-    let seconds = MEMBERSHIP_TIME.as_secs_f64() * nodes as f64;
+    let steady = run_membership(&mut detectors, &mut now, step, MEASURED_TIME);
+    let seconds = MEASURED_TIME.as_secs_f64() * nodes as f64;
     debug_assert!(warm_up.messages > 0);
     Ok(MembershipSlope {
         nodes,
@@ -220,15 +219,20 @@
 }
 
 #[derive(Default)]
-struct Sent {
+struct Traffic {
     messages: u64,
     bytes: u64,
 }
 
-/// Lets a fleet of detectors talk over a network that delivers at once and loses nothing.
-fn run_membership(detectors: &mut [Detector], now: &mut Timestamp, step: Duration, length: Duration) -> Sent {
+/// Runs detectors over a network without latency and loss.
+fn run_membership(
+    detectors: &mut [Detector],
+    now: &mut Timestamp,
+    step: Duration,
+    length: Duration,
+) -> Traffic {
     let end = *now + length;
-    let mut sent = Sent::default();
+    let mut traffic = Traffic::default();
     while *now < end {
         *now = *now + step;
         let mut pending = Vec::new();
@@ -239,8 +243,8 @@
         while let Some(effect) = pending.pop() {
             let Effect::Send { to, envelope } = effect else { continue };
             let message = OneWay::Membership(envelope.clone());
-            sent.messages += 1;
-            sent.bytes += message.encode().len() as u64 + FRAME_BYTES;
+            traffic.messages += 1;
+            traffic.bytes += message.encode().len() as u64 + FRAME_BYTES;
             let number = usize::from(to.port()) - FIRST_PORT;
             if let Some(detector) = detectors.get_mut(number) {
                 detector.receive(*envelope, *now);
@@ -248,12 +252,12 @@
             }
         }
     }
-    sent
+    traffic
 }
 
-/// Length and frame around a message.
+/// Framing overhead of a message.
 const FRAME_BYTES: u64 = 8;
-/// Port of the first hollow node.
+/// Port of the first node; the port of a detector is this plus its index.
 const FIRST_PORT: usize = 7000;
 
 fn address(number: usize) -> SocketAddr {
@@ -318,32 +322,33 @@
 }
 
 impl SlopeReport {
-    /// The report as a table for a person.
+    /// Formats the report as text.
     pub fn table(&self) -> String {
         let mut table = String::new();
-        for one in &self.programs {
+        for slope in &self.programs {
             table.push_str(&format!(
                 "program of {:>3} turns: {:>8} bytes resident, {:>8} of text, {:>8} in the log, {:.1} us a turn\n",
-                one.turns, one.resident_bytes, one.text_bytes, one.log_bytes, one.micros_per_turn
+                slope.turns, slope.resident_bytes, slope.text_bytes, slope.log_bytes, slope.micros_per_turn
             ));
         }
-        for one in &self.membership {
+        for slope in &self.membership {
             table.push_str(&format!(
                 "membership of {:>3} nodes: {:.0} bytes/s, {:.2} messages/s, {:.0} us of processor time a second\n",
-                one.nodes, one.bytes_per_second, one.messages_per_second, one.micros_per_second
+                slope.nodes, slope.bytes_per_second, slope.messages_per_second, slope.micros_per_second
             ));
         }
-        for one in &self.bids {
-            table.push_str(&format!("bid with {:>4} waiting: {:.2} us\n", one.queued, one.micros));
+        for slope in &self.bids {
+            table.push_str(&format!("bid with {:>4} waiting: {:.2} us\n", slope.queued, slope.micros));
         }
-        for one in &self.choices {
+        for slope in &self.choices {
             table.push_str(&format!(
                 "choice among {:>5} engines, {:>5} in use: {:.2} us\n",
-                one.engines, one.in_use, one.micros
+                slope.engines, slope.in_use, slope.micros
             ));
         }
-        for one in &self.feed_answers {
-            table.push_str(&format!("answer of a feed of {:>5} items: {:.2} us\n", one.items, one.micros));
+        for slope in &self.feed_answers {
+            table
+                .push_str(&format!("answer of a feed of {:>5} items: {:.2} us\n", slope.items, slope.micros));
         }
         table.push_str(&format!("replication heartbeat: {} bytes\n", self.heartbeat_bytes));
         table
--- a/crates/bench/src/statistics.rs
+++ b/crates/bench/src/statistics.rs
@@ -1,54 +1,48 @@
-//! Percentiles of times.
+//! Percentiles of durations.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Significant digits that are kept.
+/// Significant digits of recorded durations.
 const DIGITS: u8 = 3;
 
-/// Collects times.
+/// A histogram of durations.
 #[derive(Debug, Clone)]
-pub struct Times {
+pub struct DurationHistogram {
     micros: Histogram<u64>,
 }
 
-/// Percentiles of times, in seconds.
+/// Statistics of durations, in seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
+#[allow(missing_docs)]
 pub struct Percentiles {
-    /// Number of times.
+    /// Number of durations.
     pub count: u64,
-    /// Mean.
     pub mean: f64,
-    /// Median.
     pub p50: f64,
-    /// 95th percentile.
     pub p95: f64,
-    /// 99th percentile.
     pub p99: f64,
 }
 
-impl Default for Times {
+impl Default for DurationHistogram {
     fn default() -> Self {
         Self { micros: Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("a valid precision")) }
     }
 }
 
-impl Times {
-    /// Adds a time.
+impl DurationHistogram {
     pub fn add(&mut self, time: Duration) {
         // The histogram grows as needed, so no value is out of its range.
         let _ = self.micros.record(time.as_micros() as u64);
     }
 
-    /// Adds all times of another collection.
-    pub fn merge(&mut self, other: &Times) {
+    pub fn merge(&mut self, other: &DurationHistogram) {
         // Both have the same precision and grow as needed.
         let _ = self.micros.add(&other.micros);
     }
 
-    /// The percentiles.
     pub fn percentiles(&self) -> Percentiles {
         let seconds = |micros: u64| micros as f64 / 1e6;
         Percentiles {
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,65 +1,59 @@
-//! Programs of the two teams, drawn from a seed.
+//! Random programs of the tenants, drawn from a seed.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet::{BUILD_FARM_KEY, FLOOD_WARNINGS_KEY, TINY_BUDGET_KEY};
 
-/// Words that fill messages.
 const WORDS: [&str; 16] = [
     "gauge", "package", "level", "linker", "river", "symbol", "rain", "patch", "dam", "header", "district",
     "mirror", "north", "failed", "metre", "depends",
 ];
 
-/// Kinds of program.
+/// Kinds of program. The `Debug` text is part of the system message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProgramKind {
-    /// Summarises one failed build.
+    /// Summarizes a failed build.
     Triage,
-    /// Walks a chain of dependencies over many turns, with sub-agents, and proposes a patch.
+    /// Follows a chain of dependencies over many turns, with sub-agents, and proposes a patch.
     DependencyWalk,
     /// Reads bulletins and drafts a warning, then sends the notice.
     Warning,
-    /// Answers a person's follow-up questions.
+    /// Answers follow-up questions.
     Conversation,
-    /// Loops until its tiny budget ends it.
+    /// Loops until its budget is exhausted.
     Runaway,
 }
 
-/// One program, fixed before it runs.
+/// The turns and properties of a program.
 #[derive(Debug, Clone)]
 pub struct ProgramPlan {
-    /// Name.
     pub name: String,
-    /// Kind.
     pub kind: ProgramKind,
-    /// The tenant's key.
+    /// API key of the tenant.
     pub key: &'static str,
-    /// The system message, shared by programs of a kind.
+    /// System message, the same for all programs of a kind.
     pub system: String,
-    /// Turns.
     pub turns: Vec<TurnPlan>,
-    /// Whether the program ends with a call that may run only once.
+    /// Whether the program ends with a service call that must run at most once.
     pub has_hook: bool,
-    /// Whether messages are sent whole or only what is new.
+    /// Whether requests contain only the new messages, not the history.
     pub is_append: bool,
 }
 
-/// One turn.
 #[derive(Debug, Clone)]
 pub struct TurnPlan {
-    /// The user's message; it also says how long the answer is.
+    /// The user's message; it also sets the length of the answer.
     pub message: String,
-    /// Pause before it, in milliseconds: a tool or a person.
+    /// Pause before the turn, for the work of a tool or a user.
     pub pause_millis: u64,
     /// Whether a sub-agent runs before the next turn.
     pub has_sub_agent: bool,
-    /// Whether the caller sends it twice at the same time, to two nodes.
+    /// Whether the caller sends the turn twice at the same time, to two nodes.
     pub is_doubled: bool,
 }
 
-/// Draws a program.
-pub fn draw(random: &mut ChaCha8Rng, seed: u64, number: usize) -> ProgramPlan {
+pub fn draw_program(random: &mut ChaCha8Rng, seed: u64, number: usize) -> ProgramPlan {
     let kind = match random.random_range(0..100) {
         0..35 => ProgramKind::Triage,
         35..55 => ProgramKind::DependencyWalk,
