--- a/crates/emulator/src/block_cache.rs
+++ b/crates/emulator/src/block_cache.rs
@@ -1,15 +1,15 @@
-//! An engine's cache of prompt blocks in bounded memory.
+//! Prefix cache of an engine: a bounded set of prompt blocks with LRU eviction.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use sumacdrift_types::{ProgramId, stable_hash};
 
-/// Hash of a block and of all blocks before it.
+/// Hash over a block and all blocks before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BlockHash(pub u64);
 
 impl BlockHash {
-    /// The hash of the block that follows.
+    /// Hash of the block with this content that follows.
     pub fn child(self, content: &[u8]) -> BlockHash {
         BlockHash(stable_hash(&[&self.0.to_le_bytes(), content]))
     }
@@ -17,87 +17,86 @@
 
 #[derive(Debug)]
 struct Block {
-    /// Running sequences that use it; a block in use can't be evicted.
+    /// Number of running sequences that use the block; it can't be evicted while they do.
     users: usize,
-    /// Position in the order of use.
-    used: u64,
-    /// Programs that used it.
+    /// Value of `clock` at the last release; key in `idle`.
+    last_used: u64,
     programs: HashSet<ProgramId>,
 }
 
-/// Blocks by hash, with eviction of the least recently used.
+/// Blocks by hash. When the cache is full, the least recently used idle block is evicted.
 #[derive(Debug)]
 pub struct BlockCache {
     capacity: usize,
     blocks: HashMap<BlockHash, Block>,
-    /// Blocks that no sequence uses, by order of use.
+    /// Blocks without users, least recently used first.
     idle: BTreeMap<u64, BlockHash>,
-    /// Blocks of running sequences that are not content-addressed yet, since they are being generated.
-    anonymous: usize,
+    /// Number of blocks that running sequences are generating, which have no hash yet.
+    unhashed: usize,
     by_program: HashMap<ProgramId, HashSet<BlockHash>>,
     clock: u64,
     evicted: Vec<BlockHash>,
 }
 
 impl BlockCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache for `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
             blocks: HashMap::new(),
             idle: BTreeMap::new(),
-            anonymous: 0,
+            unhashed: 0,
             by_program: HashMap::new(),
             clock: 0,
             evicted: Vec::new(),
         }
     }
 
-    /// Number of leading blocks that are held.
-    pub fn matching(&self, hashes: &[BlockHash]) -> usize {
+    /// Length of the longest cached prefix of `hashes`.
+    pub fn cached_prefix_len(&self, hashes: &[BlockHash]) -> usize {
         hashes.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
     }
 
-    /// Whether a block is held.
-    pub fn holds(&self, hash: BlockHash) -> bool {
+    /// Whether the block is cached.
+    pub fn contains_block(&self, hash: BlockHash) -> bool {
         self.blocks.contains_key(&hash)
     }
 
-    /// Blocks held, in use or idle.
-    pub fn held(&self) -> usize {
-        self.blocks.len() + self.anonymous
+    /// Number of blocks in memory, in use or idle.
+    pub fn block_count(&self) -> usize {
+        self.blocks.len() + self.unhashed
     }
 
-    /// Blocks that a running sequence uses.
-    pub fn in_use(&self) -> usize {
-        self.held() - self.idle.len()
+    /// Number of blocks that running sequences use.
+    pub fn used_count(&self) -> usize {
+        self.block_count() - self.idle.len()
     }
 
-    /// Blocks that only this program used.
+    /// Number of blocks that only this program has used.
     pub fn held_for(&self, program: &ProgramId) -> usize {
         let own = |hash: &&BlockHash| self.blocks.get(hash).is_some_and(|block| block.programs.len() == 1);
         self.by_program.get(program).map_or(0, |hashes| hashes.iter().filter(own).count())
     }
 
-    /// Programs for which blocks are held.
+    /// Programs with cached blocks, sorted.
     pub fn programs(&self) -> Vec<ProgramId> {
         let mut programs: Vec<ProgramId> = self.by_program.keys().cloned().collect();
         programs.sort();
         programs
     }
 
-    /// Takes a held or new block into use. `false` where memory is full of blocks in use.
+    /// Adds a user to a block, inserting the block if needed. Returns `false` if memory is full of blocks in use.
     pub fn acquire(&mut self, hash: BlockHash, program: &ProgramId) -> bool {
         if !self.blocks.contains_key(&hash) {
-            if !self.make_room() {
+            if !self.evict_if_full() {
                 return false;
             }
-            let block = Block { users: 0, used: 0, programs: HashSet::new() };
+            let block = Block { users: 0, last_used: 0, programs: HashSet::new() };
             self.blocks.insert(hash, block);
         }
         if let Some(block) = self.blocks.get_mut(&hash) {
             if block.users == 0 {
-                self.idle.remove(&block.used);
+                self.idle.remove(&block.last_used);
             }
             block.users += 1;
             if block.programs.insert(program.clone()) {
@@ -107,64 +106,64 @@
         true
     }
 
-    /// Ends a sequence's use of a block; it stays held until evicted.
+    /// Removes a user from a block, which stays cached until it is evicted.
     pub fn release(&mut self, hash: BlockHash) {
         self.clock += 1;
         let Some(block) = self.blocks.get_mut(&hash) else { return };
         block.users = block.users.saturating_sub(1);
         if block.users == 0 {
-            block.used = self.clock;
+            block.last_used = self.clock;
             self.idle.insert(self.clock, hash);
         }
     }
 
-    /// Takes memory for a block that is being generated.
-    pub fn acquire_anonymous(&mut self) -> bool {
-        if !self.make_room() {
+    /// Reserves memory for a generated block; returns `false` if memory is full of blocks in use.
+    pub fn acquire_unhashed(&mut self) -> bool {
+        if !self.evict_if_full() {
             return false;
         }
-        self.anonymous += 1;
+        self.unhashed += 1;
         true
     }
 
-    /// Gives memory of generated blocks back.
-    pub fn release_anonymous(&mut self, count: usize) {
-        self.anonymous = self.anonymous.saturating_sub(count);
+    /// Frees the memory of `count` generated blocks.
+    pub fn release_unhashed(&mut self, count: usize) {
+        self.unhashed = self.unhashed.saturating_sub(count);
     }
 
-    /// Drops what only this program used and no sequence uses now.
-    pub fn forget_program(&mut self, program: &ProgramId) {
+    /// Evicts the idle blocks that only this program has used.
+    pub fn evict_program(&mut self, program: &ProgramId) {
         for hash in self.by_program.remove(program).unwrap_or_default() {
             let Some(block) = self.blocks.get_mut(&hash) else { continue };
             block.programs.remove(program);
             if block.programs.is_empty() && block.users == 0 {
-                self.idle.remove(&block.used);
+                self.idle.remove(&block.last_used);
                 self.blocks.remove(&hash);
                 self.evicted.push(hash);
             }
         }
     }
 
-    /// Takes the list of blocks that were dropped since the last call.
+    /// Returns the blocks evicted since the last call.
     pub fn take_evicted(&mut self) -> Vec<BlockHash> {
         std::mem::take(&mut self.evicted)
     }
 
-    fn make_room(&mut self) -> bool {
-        if self.held() < self.capacity {
+    fn evict_if_full(&mut self) -> bool {
+        if self.block_count() < self.capacity {
             return true;
         }
         let Some((_, hash)) = self.idle.pop_first() else { return false };
         if let Some(block) = self.blocks.remove(&hash) {
             for program in block.programs {
-                self.forget_block_of(&program, hash);
+                self.remove_program_block(&program, hash);
             }
         }
         self.evicted.push(hash);
         true
     }
 
-    fn forget_block_of(&mut self, program: &ProgramId, hash: BlockHash) {
+    fn remove_program_block(&mut self, program: &ProgramId, hash: BlockHash) {
         if let Some(hashes) = self.by_program.get_mut(program) {
             hashes.remove(&hash);
             if hashes.is_empty() {
--- a/crates/emulator/src/engine_http.rs
+++ b/crates/emulator/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of an emulated engine: OpenAI chat completions plus the engine's own operations.
+//! HTTP server of an emulated engine: OpenAI chat completions, cache, load and model operations.
 
 mod streaming;
 
@@ -32,29 +32,28 @@
     SequenceId, Submission, Trace, answer_text, block_hashes, count_tokens, output_length,
 };
 
-/// Bytes of the answer's text to a token.
+/// Bytes of answer text per token.
 const TOKEN_TEXT_BYTES: usize = 4;
-/// Cache events that are kept for readers.
+/// Number of cache events kept for readers.
 const MAX_EVENTS: usize = 10_000;
-/// Tokens a second at which context moves between engines.
+/// Rate of cache transfers between engines, in tokens per second at speed 1.
 const TRANSFER_TOKENS_PER_SECOND: f64 = 100_000.0;
-/// Cap on generated tokens where a request names none.
+/// Limit on generated tokens for requests without one.
 const DEFAULT_MAX_TOKENS: TokenCount = 4096;
 
-/// Faults that an emulated engine shows, each for a number of requests.
+/// Faults that an emulated engine injects into upcoming requests.
 #[derive(Debug, Clone, Default)]
 pub struct EngineFaults {
-    /// Requests whose connection breaks, after this many tokens.
+    /// One request each: breaks the connection after this many tokens.
     pub cut: VecDeque<TokenCount>,
-    /// Requests answered with bytes that are not the protocol.
+    /// Number of requests to answer with malformed data.
     pub garbage: usize,
-    /// Requests refused with a status.
+    /// One request each: rejects it with this status.
     pub refuse: VecDeque<u16>,
-    /// Requests that never get an answer.
+    /// Number of requests to leave without an answer.
     pub hang: usize,
 }
 
-/// A cache event as the engine publishes it.
 #[derive(Debug, Clone, Serialize)]
 struct CacheEvent {
     sequence: u64,
@@ -64,7 +63,7 @@
     visible_at: Option<Timestamp>,
 }
 
-/// An emulated engine that listens on an address.
+/// A handle to a running emulated engine.
 #[derive(Clone)]
 pub struct EngineServer {
     shared: Arc<Shared>,
@@ -83,19 +82,19 @@
 
 struct Inner {
     model: EngineModel,
-    listeners: HashMap<SequenceId, mpsc::UnboundedSender<EngineEvent>>,
+    event_senders: HashMap<SequenceId, mpsc::UnboundedSender<EngineEvent>>,
     next_sequence: u64,
     faults: EngineFaults,
     events: VecDeque<CacheEvent>,
     next_event: u64,
     reports: VecDeque<(Timestamp, LoadReport)>,
     random: ChaCha8Rng,
-    highest_order: (u64, u64),
+    last_order: (u64, u64),
     models: BTreeSet<String>,
 }
 
 impl EngineServer {
-    /// Starts an engine. `origin` is the zero of the times in `trace`.
+    /// Starts an engine on the address `at`. `origin` is time zero of the timestamps in `trace`.
     pub async fn start(
         name: EngineName,
         at: SocketAddr,
@@ -108,51 +107,51 @@
         let address = listener.local_addr()?;
         let inner = Inner {
             model: EngineModel::new(settings, held),
-            listeners: HashMap::new(),
+            event_senders: HashMap::new(),
             next_sequence: 0,
             faults: EngineFaults::default(),
             events: VecDeque::new(),
             next_event: 0,
             reports: VecDeque::new(),
             random: ChaCha8Rng::seed_from_u64(u64::from(address.port())),
-            highest_order: (0, 0),
+            last_order: (0, 0),
             models: BTreeSet::new(),
         };
         let shared =
             Arc::new(Shared { name, settings, origin, inner: Mutex::new(inner), wake: Notify::new(), trace });
         let stop = CancellationToken::new();
-        tokio::spawn(drive(Arc::clone(&shared), stop.clone()));
+        tokio::spawn(run_model(Arc::clone(&shared), stop.clone()));
         let router = router(Arc::clone(&shared));
         spawn_server(listener, router, stop.clone());
         Ok(Self { shared, address, stop })
     }
 
-    /// The engine's name.
+    /// Name given at the start.
     pub fn name(&self) -> &EngineName {
         &self.shared.name
     }
 
-    /// The address listened on.
+    /// Address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the faults that the engine shows.
+    /// Changes the pending faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         change(&mut self.shared.lock().faults);
     }
 
-    /// Blocks held that only this program used.
+    /// Number of cached blocks that only this program has used.
     pub fn held_for(&self, program: &ProgramId) -> usize {
         self.shared.lock().model.cache().held_for(program)
     }
 
-    /// What the engine does at the moment, without the delay of its reports.
+    /// Current load, without the delay of the load reports.
     pub fn load(&self) -> LoadReport {
         self.shared.lock().model.load()
     }
 
-    /// Stops the engine at once, as a crash does.
+    /// Stops the engine abruptly, like a crash.
     pub fn stop(&self) {
         self.stop.cancel();
     }
@@ -168,8 +167,8 @@
     }
 }
 
-/// Drives the model in real time.
-async fn drive(shared: Arc<Shared>, stop: CancellationToken) {
+/// Advances the model in real time until `stop` is cancelled.
+async fn run_model(shared: Arc<Shared>, stop: CancellationToken) {
     loop {
         let next = {
             let now = shared.now();
@@ -197,11 +196,11 @@
             let id = match event {
                 EngineEvent::Token { id, .. } | EngineEvent::Finished { id, .. } => id,
             };
-            if let Some(listener) = self.listeners.get(&id) {
-                let _ = listener.send(event);
+            if let Some(event_sender) = self.event_senders.get(&id) {
+                let _ = event_sender.send(event);
             }
             if matches!(event, EngineEvent::Finished { .. }) {
-                self.listeners.remove(&id);
+                self.event_senders.remove(&id);
             }
         }
         self.publish_evictions(now, settings);
@@ -216,7 +215,7 @@
         for block in self.model.cache_mut().take_evicted() {
             let sequence = self.next_event;
             self.next_event += 1;
-            // A lost event still takes its number, so that readers can see the gap.
+            // A lost event takes a number too, so that readers can detect the gap.
             if self.random.random_bool(settings.event_loss) {
                 continue;
             }
@@ -236,10 +235,10 @@
         .route("/load", get(load))
         .route("/cache/events", get(cache_events))
         .route("/cache/programs", get(list_programs))
-        .route("/cache/programs/{program}", delete(free_program))
-        .route("/kv/export", post(export))
-        .route("/kv/import", post(import))
-        .route("/orders", post(order))
+        .route("/cache/programs/{program}", delete(delete_program))
+        .route("/kv/export", post(export_blocks))
+        .route("/kv/import", post(import_blocks))
+        .route("/orders", post(apply_order))
         .with_state(shared)
 }
 
@@ -265,8 +264,8 @@
     include_usage: bool,
 }
 
-/// An admitted request with its events.
-struct Running {
+/// A submitted request; cancelled in the model when dropped.
+struct ActiveRequest {
     shared: Arc<Shared>,
     id: SequenceId,
     events: mpsc::UnboundedReceiver<EngineEvent>,
@@ -280,11 +279,11 @@
     include_usage: bool,
 }
 
-impl Drop for Running {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         let mut inner = self.shared.lock();
         inner.model.cancel(self.id);
-        inner.listeners.remove(&self.id);
+        inner.event_senders.remove(&self.id);
     }
 }
 
@@ -294,15 +293,15 @@
         Err(error) => return (StatusCode::BAD_REQUEST, error.to_string()).into_response(),
     };
     let is_stream = request.stream;
-    if let Some(response) = planned_fault(&shared).await {
+    if let Some(response) = apply_fault(&shared).await {
         return response;
     }
-    let running = submit(&shared, request, &headers);
-    if is_stream { streaming::stream_answer(running) } else { whole_answer(running).await }
+    let active = submit(&shared, request, &headers);
+    if is_stream { streaming::stream_answer(active) } else { complete_answer(active).await }
 }
 
-/// Shows a fault in place of an answer, if one is planned.
-async fn planned_fault(shared: &Arc<Shared>) -> Option<Response> {
+/// Applies the next pending fault; `None` if the request is to be answered regularly.
+async fn apply_fault(shared: &Arc<Shared>) -> Option<Response> {
     enum Fault {
         Refuse(u16),
         Garbage,
@@ -332,17 +331,17 @@
     }
 }
 
-fn submit(shared: &Arc<Shared>, mut request: ChatRequest, headers: &HeaderMap) -> Running {
-    let partial = take_partial(&mut request);
+fn submit(shared: &Arc<Shared>, mut request: ChatRequest, headers: &HeaderMap) -> ActiveRequest {
+    let partial_answer = take_partial_answer(&mut request);
     let prompt = Prompt::from_messages(&request.messages);
     let max_tokens = request.max_completion_tokens.or(request.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS);
-    let skipped = (partial.len() / TOKEN_TEXT_BYTES) as TokenCount;
-    let length = output_length(&prompt, max_tokens + skipped);
+    let partial_tokens = (partial_answer.len() / TOKEN_TEXT_BYTES) as TokenCount;
+    let length = output_length(&prompt, max_tokens + partial_tokens);
     let answer = answer_text(&prompt, length);
-    let full = prompt.with_answer(&answer);
-    let prompt_tokens = count_tokens(prompt.text()) + skipped;
+    let full_prompt = prompt.with_answer(&answer);
+    let prompt_tokens = count_tokens(prompt.text()) + partial_tokens;
     let program = request.user.as_deref().unwrap_or("anonymous");
-    let program = ProgramId::new(program).unwrap_or_else(|_| anonymous());
+    let program = ProgramId::new(program).unwrap_or_else(|_| anonymous_program());
     let now = shared.now();
     let call = headers.get("x-request-id").and_then(|value| value.to_str().ok()).unwrap_or_default();
     let trace_position = shared.trace.begin(EngineRun {
@@ -357,7 +356,7 @@
     let mut inner = shared.lock();
     let id = SequenceId(inner.next_sequence);
     inner.next_sequence += 1;
-    inner.listeners.insert(id, sender);
+    inner.event_senders.insert(id, sender);
     let cut_after = inner.faults.cut.pop_front();
     let submission = Submission {
         id,
@@ -365,18 +364,18 @@
         priority: request.priority,
         blocks: block_hashes(prompt.text()),
         prompt_tokens,
-        output_tokens: length.saturating_sub(skipped).max(1),
-        final_blocks: block_hashes(full.text()),
+        output_tokens: length.saturating_sub(partial_tokens).max(1),
+        final_blocks: block_hashes(full_prompt.text()),
     };
     inner.model.submit(submission, now);
     drop(inner);
     shared.wake.notify_one();
-    Running {
+    ActiveRequest {
         shared: Arc::clone(shared),
         id,
         events,
         answer,
-        sent_bytes: partial.len(),
+        sent_bytes: partial_answer.len(),
         trace_position,
         cut_after,
         tokens: 0,
@@ -386,13 +385,12 @@
     }
 }
 
-fn anonymous() -> ProgramId {
-    // A constant that satisfies the rules for names.
+fn anonymous_program() -> ProgramId {
     ProgramId::new("anonymous").unwrap_or_else(|_| unreachable!("a valid constant"))
 }
 
-/// Takes the unfinished answer off the messages, where the request continues one.
-fn take_partial(request: &mut ChatRequest) -> String {
+/// Removes the partial answer from the messages if the request continues one; empty otherwise.
+fn take_partial_answer(request: &mut ChatRequest) -> String {
     if !request.continue_final_message {
         return String::new();
     }
@@ -401,34 +399,34 @@
     content.unwrap_or_default().to_owned()
 }
 
-impl Running {}
+impl ActiveRequest {}
 
-async fn whole_answer(mut running: Running) -> Response {
+async fn complete_answer(mut active: ActiveRequest) -> Response {
     let mut text = String::new();
-    while let Some(piece) = running.next_text().await {
-        text.push_str(&piece);
-        if running.is_cut() {
+    while let Some(text_chunk) = active.next_text().await {
+        text.push_str(&text_chunk);
+        if active.is_cut() {
             return (StatusCode::INTERNAL_SERVER_ERROR, "cut").into_response();
         }
     }
     let answer = json!({
-        "id": format!("chatcmpl-{}", running.id.0),
+        "id": format!("chatcmpl-{}", active.id.0),
         "object": "chat.completion",
         "created": 0,
-        "model": running.model,
+        "model": active.model,
         "choices": [{
             "index": 0,
             "message": {"role": "assistant", "content": text},
-            "finish_reason": running.finish_reason(),
+            "finish_reason": active.finish_reason(),
         }],
-        "usage": running.usage_json(),
+        "usage": active.usage_json(),
     });
     Json(answer).into_response()
 }
 
-/// How far a stream of server-sent events has come.
-enum Phase {
-    Tokens(Box<Running>),
+/// Progress of a stream of server-sent events.
+enum StreamState {
+    Tokens(Box<ActiveRequest>),
     Ended,
 }
 
@@ -466,14 +464,14 @@
     Json(json!({"programs": programs}))
 }
 
-async fn free_program(
+async fn delete_program(
     State(shared): State<Arc<Shared>>,
     Path(program): Path<String>,
 ) -> Result<StatusCode, Infallible> {
     let Ok(program) = ProgramId::new(&program) else { return Ok(StatusCode::BAD_REQUEST) };
     let now = shared.now();
     let mut inner = shared.lock();
-    inner.model.cache_mut().forget_program(&program);
+    inner.model.cache_mut().evict_program(&program);
     inner.publish_evictions(now, &shared.settings);
     Ok(StatusCode::NO_CONTENT)
 }
@@ -487,18 +485,24 @@
     messages: Vec<Value>,
 }
 
-async fn export(State(shared): State<Arc<Shared>>, Json(request): Json<TransferRequest>) -> Json<Value> {
+async fn export_blocks(
+    State(shared): State<Arc<Shared>>,
+    Json(request): Json<TransferRequest>,
+) -> Json<Value> {
     let prompt = Prompt::from_messages(&request.messages);
     let hashes = block_hashes(prompt.text());
-    let held = shared.lock().model.cache().matching(&hashes);
+    let held = shared.lock().model.cache().cached_prefix_len(&hashes);
     let blocks: Vec<u64> = hashes[..held].iter().map(|hash| hash.0).collect();
-    transfer_time(&shared, blocks.len()).await;
+    simulate_transfer(&shared, blocks.len()).await;
     Json(json!({"program": request.program, "blocks": blocks, "tokens": held * BLOCK_TOKENS}))
 }
 
-async fn import(State(shared): State<Arc<Shared>>, Json(request): Json<TransferRequest>) -> StatusCode {
+async fn import_blocks(
+    State(shared): State<Arc<Shared>>,
+    Json(request): Json<TransferRequest>,
+) -> StatusCode {
     let Ok(program) = ProgramId::new(&request.program) else { return StatusCode::BAD_REQUEST };
-    transfer_time(&shared, request.blocks.len()).await;
+    simulate_transfer(&shared, request.blocks.len()).await;
     let mut inner = shared.lock();
     let cache = inner.model.cache_mut();
     let hashes: Vec<BlockHash> = request.blocks.into_iter().map(BlockHash).collect();
@@ -507,32 +511,31 @@
     StatusCode::NO_CONTENT
 }
 
-async fn transfer_time(shared: &Shared, blocks: usize) {
+async fn simulate_transfer(shared: &Shared, blocks: usize) {
     let seconds = (blocks * BLOCK_TOKENS) as f64 / (TRANSFER_TOKENS_PER_SECOND * shared.settings.speed);
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-/// An order to change the models that the engine serves.
+/// An order to load or unload a model, fenced by term and number.
 #[derive(Debug, Deserialize)]
-struct Order {
-    /// Term of the leader that orders.
+struct ModelOrder {
+    /// Term of the ordering leader.
     term: u64,
-    /// Number of the order within the term.
+    /// Sequence number of the order within the term.
     number: u64,
     /// `load` or `unload`.
     action: String,
-    /// The model.
     model: String,
 }
 
-async fn order(State(shared): State<Arc<Shared>>, Json(order): Json<Order>) -> Response {
+async fn apply_order(State(shared): State<Arc<Shared>>, Json(order): Json<ModelOrder>) -> Response {
     let mut inner = shared.lock();
     let position = (order.term, order.number);
-    if position <= inner.highest_order {
-        let (term, number) = inner.highest_order;
+    if position <= inner.last_order {
+        let (term, number) = inner.last_order;
         return (StatusCode::CONFLICT, Json(json!({"term": term, "number": number}))).into_response();
     }
-    inner.highest_order = position;
+    inner.last_order = position;
     match order.action.as_str() {
         "load" => inner.models.insert(order.model),
         "unload" => inner.models.remove(&order.model),
--- a/crates/emulator/src/engine_http/streaming.rs
+++ b/crates/emulator/src/engine_http/streaming.rs
@@ -1,4 +1,4 @@
-//! Answers of the emulated engine: as a stream of events, or whole.
+//! Token text, usage and server-sent events of chat completion answers.
 
 use std::io;
 
@@ -7,11 +7,11 @@
 use futures::stream;
 use serde_json::{Value, json};
 
-use super::{Phase, Running, TOKEN_TEXT_BYTES};
+use super::{ActiveRequest, StreamState, TOKEN_TEXT_BYTES};
 use crate::EngineEvent;
 
-impl Running {
-    /// The text of the next token; `None` at the end.
+impl ActiveRequest {
+    /// Waits for the next token and returns its text; `None` when the answer is finished.
     pub(super) async fn next_text(&mut self) -> Option<String> {
         match self.events.recv().await? {
             EngineEvent::Token { .. } => {
@@ -48,19 +48,19 @@
     }
 }
 
-pub(super) fn stream_answer(running: Running) -> Response {
-    let events = stream::unfold(Phase::Tokens(Box::new(running)), |phase| async move {
-        let Phase::Tokens(mut running) = phase else { return None };
-        if running.is_cut() {
-            let cut = io::Error::new(io::ErrorKind::ConnectionReset, "cut");
-            return Some((Err(cut), Phase::Ended));
+pub(super) fn stream_answer(active: ActiveRequest) -> Response {
+    let events = stream::unfold(StreamState::Tokens(Box::new(active)), |state| async move {
+        let StreamState::Tokens(mut active) = state else { return None };
+        if active.is_cut() {
+            let cut_error = io::Error::new(io::ErrorKind::ConnectionReset, "cut");
+            return Some((Err(cut_error), StreamState::Ended));
         }
-        match running.next_text().await {
+        match active.next_text().await {
             Some(text) => {
-                let event = token_event(&running, &text);
-                Some((Ok::<Bytes, io::Error>(Bytes::from(event)), Phase::Tokens(running)))
+                let event = token_event(&active, &text);
+                Some((Ok::<Bytes, io::Error>(Bytes::from(event)), StreamState::Tokens(active)))
             }
-            None => Some((Ok(Bytes::from(end_events(&running))), Phase::Ended)),
+            None => Some((Ok(Bytes::from(end_events(&active))), StreamState::Ended)),
         }
     });
     let mut response = Response::new(Body::from_stream(events));
@@ -69,31 +69,31 @@
     response
 }
 
-fn token_event(running: &Running, text: &str) -> String {
+fn token_event(active: &ActiveRequest, text: &str) -> String {
     format!(
         "data: {{\"id\":\"chatcmpl-{}\",\"object\":\"chat.completion.chunk\",\"created\":0,\"model\":\"{}\",\
          \"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}},\"finish_reason\":null}}]}}\n\n",
-        running.id.0, running.model,
+        active.id.0, active.model,
     )
 }
 
-fn end_events(running: &Running) -> String {
-    let head = json!({
-        "id": format!("chatcmpl-{}", running.id.0),
+fn end_events(active: &ActiveRequest) -> String {
+    let last_chunk = json!({
+        "id": format!("chatcmpl-{}", active.id.0),
         "object": "chat.completion.chunk",
         "created": 0,
-        "model": running.model,
-        "choices": [{"index": 0, "delta": {}, "finish_reason": running.finish_reason()}],
+        "model": active.model,
+        "choices": [{"index": 0, "delta": {}, "finish_reason": active.finish_reason()}],
     });
-    let mut events = format!("data: {head}\n\n");
-    if running.include_usage {
+    let mut events = format!("data: {last_chunk}\n\n");
+    if active.include_usage {
         let usage = json!({
-            "id": format!("chatcmpl-{}", running.id.0),
+            "id": format!("chatcmpl-{}", active.id.0),
             "object": "chat.completion.chunk",
             "created": 0,
-            "model": running.model,
+            "model": active.model,
             "choices": [],
-            "usage": running.usage_json(),
+            "usage": active.usage_json(),
         });
         events.push_str(&format!("data: {usage}\n\n"));
     }
--- a/crates/emulator/src/engine_model.rs
+++ b/crates/emulator/src/engine_model.rs
@@ -1,4 +1,5 @@
-//! An engine with continuous batching, chunked prefill and a prefix cache, on a clock that its driver supplies.
+//! Model of an inference engine with continuous batching, chunked prefill and a prefix cache. The caller supplies the
+//! clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,74 +9,59 @@
 use crate::text::BLOCK_TOKENS;
 use crate::{BlockCache, BlockHash, EngineSettings, HeldBlocks};
 
-/// A request in an engine.
+/// Identifies a request within an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SequenceId(pub u64);
 
-/// A request as it arrives.
+/// A request submitted to an engine.
 #[derive(Debug, Clone)]
+#[allow(missing_docs)]
 pub struct Submission {
-    /// Identifies the request.
     pub id: SequenceId,
-    /// The program that it belongs to.
     pub program: ProgramId,
-    /// Lower goes first.
+    /// Lower values are admitted first.
     pub priority: u32,
-    /// Hashes of the prompt's full blocks.
+    /// Hashes of the prompt's complete blocks.
     pub blocks: Vec<BlockHash>,
-    /// Tokens of the prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: TokenCount,
-    /// Hashes of the full blocks of prompt and answer together.
+    /// Hashes of the complete blocks of prompt and answer together.
     pub final_blocks: Vec<BlockHash>,
 }
 
-/// What happened in an engine.
+/// Progress of a request, with the time at which the step ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
+#[allow(missing_docs)]
 pub enum EngineEvent {
-    /// A token was generated.
-    Token {
-        /// The request.
-        id: SequenceId,
-        /// When.
-        at: Timestamp,
-    },
-    /// A request is complete.
-    Finished {
-        /// The request.
-        id: SequenceId,
-        /// Tokens used.
-        usage: Usage,
-        /// When.
-        at: Timestamp,
-    },
+    Token { id: SequenceId, at: Timestamp },
+    Finished { id: SequenceId, usage: Usage, at: Timestamp },
 }
 
-/// What an engine reports of itself.
+/// Load of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+#[allow(missing_docs)]
 pub struct LoadReport {
-    /// Requests in the batch.
     pub running: usize,
-    /// Requests that wait.
+    /// Requests waiting for admission to the batch.
     pub waiting: usize,
-    /// Blocks held.
+    /// Blocks in memory, in use or idle.
     pub held_blocks: usize,
-    /// Blocks in use.
+    /// Blocks that running requests use.
     pub used_blocks: usize,
 }
 
 #[derive(Debug)]
 struct Sequence {
     submission: Submission,
-    /// Prompt tokens that are in memory.
+    /// Prompt tokens that are cached or prefilled.
     computed: TokenCount,
     cached_tokens: TokenCount,
     generated: TokenCount,
-    /// Tokens generated before a preemption; they are part of the prompt now.
+    /// Tokens generated before preemptions; counted as prompt tokens since.
     generated_before: TokenCount,
     acquired: Vec<BlockHash>,
-    anonymous: usize,
+    unhashed: usize,
 }
 
 impl Sequence {
@@ -88,10 +74,10 @@
     }
 }
 
-/// The order in which waiting requests enter the batch.
+/// Admission order: priority, then arrival number.
 type WaitingKey = (u32, u64);
 
-/// One engine.
+/// An engine; time advances only through [`EngineModel::advance`].
 #[derive(Debug)]
 pub struct EngineModel {
     settings: EngineSettings,
@@ -99,16 +85,16 @@
     held: HeldBlocks,
     waiting: BTreeMap<WaitingKey, Sequence>,
     running: Vec<Sequence>,
-    arrivals: u64,
-    /// When the step under way ends.
-    step_ends: Option<Timestamp>,
-    /// Prompt tokens that the step under way computes, by position in the batch.
+    next_arrival: u64,
+    /// End of the current step; `None` if the engine is idle.
+    step_end: Option<Timestamp>,
+    /// Prompt tokens that the current step prefills, by position in the batch.
     step_prefill: Vec<TokenCount>,
     computed_tokens: TokenCount,
 }
 
 impl EngineModel {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(settings: EngineSettings, held: HeldBlocks) -> Self {
         let capacity = (settings.capacity_tokens as usize / BLOCK_TOKENS).max(1);
         Self {
@@ -117,24 +103,24 @@
             held,
             waiting: BTreeMap::new(),
             running: Vec::new(),
-            arrivals: 0,
-            step_ends: None,
+            next_arrival: 0,
+            step_end: None,
             step_prefill: Vec::new(),
             computed_tokens: 0,
         }
     }
 
-    /// The engine's cache.
+    /// The prefix cache.
     pub fn cache(&self) -> &BlockCache {
         &self.cache
     }
 
-    /// The engine's cache, for dropping a program's blocks.
+    /// The prefix cache, for changes from outside the model such as evictions and imports.
     pub fn cache_mut(&mut self) -> &mut BlockCache {
         &mut self.cache
     }
 
-    /// Prompt tokens computed so far.
+    /// Total prompt tokens prefilled, including those of the current step.
     pub fn computed_tokens(&self) -> TokenCount {
         self.computed_tokens
     }
@@ -144,20 +130,20 @@
         LoadReport {
             running: self.running.len(),
             waiting: self.waiting.len(),
-            held_blocks: self.cache.held(),
-            used_blocks: self.cache.in_use(),
+            held_blocks: self.cache.block_count(),
+            used_blocks: self.cache.used_count(),
         }
     }
 
-    /// When something will happen next, if anything will.
+    /// End of the current step; `None` if the engine is idle.
     pub fn next_step(&self) -> Option<Timestamp> {
-        self.step_ends
+        self.step_end
     }
 
-    /// Takes a request.
+    /// Enqueues a request, and starts a step if the engine is idle.
     pub fn submit(&mut self, submission: Submission, now: Timestamp) {
-        let key = (submission.priority, self.arrivals);
-        self.arrivals += 1;
+        let key = (submission.priority, self.next_arrival);
+        self.next_arrival += 1;
         let sequence = Sequence {
             submission,
             computed: 0,
@@ -165,27 +151,27 @@
             generated: 0,
             generated_before: 0,
             acquired: Vec::new(),
-            anonymous: 0,
+            unhashed: 0,
         };
         self.waiting.insert(key, sequence);
-        if self.step_ends.is_none() {
+        if self.step_end.is_none() {
             self.start_step(now);
         }
     }
 
-    /// Drops a request.
+    /// Removes a waiting or running request; does nothing if it is unknown.
     pub fn cancel(&mut self, id: SequenceId) {
         self.waiting.retain(|_, sequence| sequence.submission.id != id);
         if let Some(position) = self.running.iter().position(|one| one.submission.id == id) {
             let sequence = self.remove_running(position);
-            self.give_back(&sequence);
+            self.release_blocks(&sequence);
         }
     }
 
-    /// Lets time pass and reports what happened.
+    /// Completes all steps that end by `now` and returns their events in order.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
         let mut events = Vec::new();
-        while let Some(at) = self.step_ends.filter(|at| *at <= now) {
+        while let Some(at) = self.step_end.filter(|at| *at <= now) {
             self.finish_step(at, &mut events);
             self.start_step(at);
         }
@@ -193,49 +179,49 @@
     }
 
     fn start_step(&mut self, now: Timestamp) {
-        self.admit();
+        self.admit_waiting();
         self.step_prefill.clear();
         if self.running.is_empty() {
-            self.step_ends = None;
+            self.step_end = None;
             return;
         }
         let mut budget = self.settings.prefill_chunk_tokens;
         let mut decoding = 0;
         let mut prefill = 0;
         for sequence in &self.running {
-            let missing = sequence.submission.prompt_tokens.saturating_sub(sequence.computed);
-            let chunk = missing.min(budget);
+            let remaining = sequence.submission.prompt_tokens.saturating_sub(sequence.computed);
+            let chunk = remaining.min(budget);
             budget -= chunk;
             prefill += chunk;
             decoding += u32::from(sequence.is_decoding());
             self.step_prefill.push(chunk);
         }
         let prefill_seconds = prefill as f64 / self.settings.prefill_tokens_per_second;
-        let length = self.settings.step_base
+        let step_duration = self.settings.step_base
             + self.settings.step_per_sequence * decoding
             + Duration::from_secs_f64(prefill_seconds);
         self.computed_tokens += prefill;
-        self.step_ends = Some(now + length);
+        self.step_end = Some(now + step_duration);
     }
 
     fn finish_step(&mut self, at: Timestamp, events: &mut Vec<EngineEvent>) {
         let mut position = 0;
         let chunks = std::mem::take(&mut self.step_prefill);
-        let mut chunk_of = chunks.into_iter();
+        let mut next_chunks = chunks.into_iter();
         let mut starved = Vec::new();
         for sequence in &mut self.running {
-            let chunk = chunk_of.next().unwrap_or(0);
+            let chunk = next_chunks.next().unwrap_or(0);
             let was_decoding = sequence.is_decoding();
             sequence.computed += chunk;
-            // The step that completes the prompt also yields the first token.
-            let yields = was_decoding || sequence.is_decoding();
-            if !yields {
+            // The step that completes the prompt also generates the first token.
+            let emits_token = was_decoding || sequence.is_decoding();
+            if !emits_token {
                 position += 1;
                 continue;
             }
             if needs_block(sequence) {
-                if self.cache.acquire_anonymous() {
-                    sequence.anonymous += 1;
+                if self.cache.acquire_unhashed() {
+                    sequence.unhashed += 1;
                 } else {
                     starved.push(position);
                     position += 1;
@@ -246,26 +232,26 @@
             events.push(EngineEvent::Token { id: sequence.submission.id, at });
             position += 1;
         }
-        self.preempt_for(&starved);
+        self.preempt_last(&starved);
         self.finish_sequences(at, events);
     }
 
-    /// Frees memory by sending the latest arrival back to wait, as engines do when memory runs out.
-    fn preempt_for(&mut self, starved: &[usize]) {
+    /// Moves the last sequence of the batch back to the queue if a sequence got no memory for its next token.
+    fn preempt_last(&mut self, starved: &[usize]) {
         if starved.is_empty() || self.running.len() < 2 {
             return;
         }
         let mut sequence = self.remove_running(self.running.len() - 1);
-        self.give_back(&sequence);
+        self.release_blocks(&sequence);
         sequence.computed = 0;
         sequence.generated_before += sequence.generated;
         sequence.submission.prompt_tokens += sequence.generated;
         sequence.submission.output_tokens -= sequence.generated;
         sequence.generated = 0;
         sequence.acquired.clear();
-        sequence.anonymous = 0;
-        let key = (sequence.submission.priority, self.arrivals);
-        self.arrivals += 1;
+        sequence.unhashed = 0;
+        let key = (sequence.submission.priority, self.next_arrival);
+        self.next_arrival += 1;
         self.waiting.insert(key, sequence);
     }
 
@@ -277,8 +263,8 @@
                 continue;
             }
             let sequence = self.remove_running(position);
-            self.give_back(&sequence);
-            self.keep_answer(&sequence);
+            self.release_blocks(&sequence);
+            self.cache_answer(&sequence);
             let usage = Usage {
                 prompt_tokens: sequence.submission.prompt_tokens - sequence.generated_before,
                 cached_tokens: sequence.cached_tokens,
@@ -288,27 +274,27 @@
         }
     }
 
-    /// Puts the blocks of prompt and answer into the cache, as far as memory allows.
-    fn keep_answer(&mut self, sequence: &Sequence) {
+    /// Inserts the blocks of prompt and answer into the cache, as far as memory allows.
+    fn cache_answer(&mut self, sequence: &Sequence) {
         let blocks = &sequence.submission.final_blocks;
-        self.held.note_answer(blocks);
-        let mut kept = Vec::new();
+        self.held.record_answer(blocks);
+        let mut cached = Vec::new();
         for hash in blocks {
             if !self.cache.acquire(*hash, &sequence.submission.program) {
                 break;
             }
-            kept.push(*hash);
+            cached.push(*hash);
         }
-        // The end goes first when memory is needed: a prefix is worth more than what follows it.
-        for hash in kept.into_iter().rev() {
+        // Released in reverse order, so that the end is evicted before the prefix it depends on.
+        for hash in cached.into_iter().rev() {
             self.cache.release(hash);
         }
     }
 
-    fn admit(&mut self) {
+    fn admit_waiting(&mut self) {
         while self.running.len() < self.settings.max_batch {
             let Some((key, mut sequence)) = self.waiting.pop_first() else { return };
-            if self.try_start(&mut sequence) {
+            if self.try_admit(&mut sequence) {
                 self.running.push(sequence);
             } else {
                 self.waiting.insert(key, sequence);
@@ -317,10 +303,10 @@
         }
     }
 
-    /// Takes memory for a prompt. A prompt larger than all memory would wait for ever; it runs alone, without
-    /// cache, instead.
-    fn try_start(&mut self, sequence: &mut Sequence) -> bool {
-        let matching = self.cache.matching(&sequence.submission.blocks);
+    /// Reserves memory for a prompt; returns whether the sequence may run. A prompt that doesn't fit would wait for ever, so
+    /// it runs without the cache if the batch is empty.
+    fn try_admit(&mut self, sequence: &mut Sequence) -> bool {
+        let cached_prefix_len = self.cache.cached_prefix_len(&sequence.submission.blocks);
         for hash in &sequence.submission.blocks {
             if !self.cache.acquire(*hash, &sequence.submission.program) {
                 for acquired in sequence.acquired.drain(..).rev() {
@@ -330,10 +316,10 @@
             }
             sequence.acquired.push(*hash);
         }
-        self.held.note_prompt(&sequence.submission.blocks, matching);
-        let last = sequence.submission.prompt_tokens.saturating_sub(1);
-        // At least one token is computed, since the first new token comes out of it.
-        sequence.computed = ((matching * BLOCK_TOKENS) as TokenCount).min(last);
+        self.held.record_prompt(&sequence.submission.blocks, cached_prefix_len);
+        let max_cached = sequence.submission.prompt_tokens.saturating_sub(1);
+        // At least one prompt token has to be computed to generate the first output token.
+        sequence.computed = ((cached_prefix_len * BLOCK_TOKENS) as TokenCount).min(max_cached);
         sequence.cached_tokens = sequence.cached_tokens.max(sequence.computed);
         true
     }
@@ -345,17 +331,16 @@
         self.running.remove(position)
     }
 
-    fn give_back(&mut self, sequence: &Sequence) {
+    fn release_blocks(&mut self, sequence: &Sequence) {
         for hash in sequence.acquired.iter().rev() {
             self.cache.release(*hash);
         }
-        self.cache.release_anonymous(sequence.anonymous);
+        self.cache.release_unhashed(sequence.unhashed);
     }
 }
 
-/// Whether the next generated token needs a block that the sequence does not have yet.
 fn needs_block(sequence: &Sequence) -> bool {
     let tokens = sequence.submission.prompt_tokens + sequence.generated + 1;
-    let blocks = sequence.submission.blocks.len() + sequence.anonymous;
+    let blocks = sequence.submission.blocks.len() + sequence.unhashed;
     tokens > (blocks * BLOCK_TOKENS) as TokenCount
 }
--- a/crates/emulator/src/engine_settings.rs
+++ b/crates/emulator/src/engine_settings.rs
@@ -1,31 +1,31 @@
-//! Parameters of an emulated engine. `docs/EMULATOR.md` names where the numbers come from.
+//! Parameters of an emulated engine. `docs/EMULATOR.md` gives the sources of the defaults.
 
 use std::time::Duration;
 
 use sumacdrift_types::TokenCount;
 
-/// Parameters of an emulated engine.
+/// Capacity and timing of an emulated engine. Step times and prefill rate are already scaled by `speed`.
 #[derive(Debug, Clone, Copy, PartialEq)]
+#[allow(missing_docs)]
 pub struct EngineSettings {
-    /// Sequences in a batch at the most.
+    /// Maximum sequences per batch.
     pub max_batch: usize,
-    /// Tokens of context that memory holds.
+    /// Cache memory in tokens.
     pub capacity_tokens: TokenCount,
-    /// Prompt tokens computed in one step at the most (chunked prefill).
+    /// Maximum prompt tokens per step (chunked prefill).
     pub prefill_chunk_tokens: TokenCount,
-    /// Prompt tokens computed a second.
     pub prefill_tokens_per_second: f64,
-    /// Time of a step with no work, which weights being read from memory dominate.
+    /// Fixed time of a step, dominated by reading the weights from memory.
     pub step_base: Duration,
-    /// Time that each decoding sequence adds to a step.
+    /// Additional step time per decoding sequence.
     pub step_per_sequence: Duration,
-    /// How much faster than the parameters say time runs; 1 is real time.
+    /// Factor by which the engine was sped up; 1 is real time. Also scales cache transfers.
     pub speed: f64,
-    /// How late cache events are published.
+    /// Delay of cache events; not scaled by `speed`.
     pub event_delay: Duration,
-    /// Share of cache events that are never published.
+    /// Share of cache events that are lost, 0 to 1.
     pub event_loss: f64,
-    /// How old load reports are.
+    /// Age of load reports; not scaled by `speed`.
     pub report_delay: Duration,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl EngineSettings {
-    /// The same engine, running `speed` times as fast.
+    /// Returns the parameters of an engine `speed` times as fast.
     pub fn at_speed(self, speed: f64) -> Self {
         Self {
             prefill_tokens_per_second: self.prefill_tokens_per_second * speed,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,7 @@
-//! Stand-ins for everything outside the system: engines, tool services, the platform's object API and its list
-//! of machines.
+//! Emulators of the system's environment: engines, tool services, the platform's object API and its machine list.
 //!
-//! Each is one model without clock or socket. The HTTP faces drive the models in real time; the simulator and
-//! the experiment tool call the very same models on a virtual clock.
+//! The models have neither clock nor sockets. The HTTP servers run them in real time; the simulator and the experiment
+//! tool run the same models on a virtual clock.
 
 mod block_cache;
 mod engine_http;
--- a/crates/emulator/src/machine_list.rs
+++ b/crates/emulator/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, which lags behind the truth.
+//! The platform's list of machines, in which changes become visible after a delay.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -7,26 +7,24 @@
 use serde::Serialize;
 use sumacdrift_types::Timestamp;
 
-/// What the platform says of a machine.
+/// State of a machine as the platform lists it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Up.
+    /// In service.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
-/// One machine of the list.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MachineEntry {
-    /// Its address.
     pub ip: IpAddr,
-    /// What the platform says of it.
     pub state: MachineState,
 }
 
-/// Changes become visible after a delay.
+/// Log of changes, each of which becomes visible after a delay.
 #[derive(Debug, Clone, Default)]
 pub struct MachineList {
     delay: Duration,
@@ -34,17 +32,17 @@
 }
 
 impl MachineList {
-    /// An empty list whose changes show after `delay`.
+    /// Creates an empty list whose changes become visible after `delay`.
     pub fn new(delay: Duration) -> Self {
         Self { delay, changes: Vec::new() }
     }
 
-    /// Notes a change; `None` removes the machine.
+    /// Records a change at `now`; `None` removes the machine.
     pub fn set(&mut self, ip: IpAddr, state: Option<MachineState>, now: Timestamp) {
         self.changes.push((now, ip, state));
     }
 
-    /// The list as it shows at `now`.
+    /// The list as visible at `now`, sorted by address.
     pub fn visible(&self, now: Timestamp) -> Vec<MachineEntry> {
         let mut machines: BTreeMap<IpAddr, MachineState> = BTreeMap::new();
         for (at, ip, state) in &self.changes {
--- a/crates/emulator/src/object_http.rs
+++ b/crates/emulator/src/object_http.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of the object API and the machine list.
+//! HTTP server of the object API and the machine list.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -24,11 +24,11 @@
 
 use crate::{MachineEntry, MachineList, MachineState, ObjectFaults, ObjectStore, StoreError, StoredObject};
 
-/// How long a watch waits for a change.
-const WATCH_TIME: Duration = Duration::from_secs(10);
-/// Readers that are served at a time.
-const MAX_READERS: usize = 32;
-/// How late the machine list is.
+/// Maximum time that a watch waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Limit of concurrent reads and watches; further ones get 429.
+const MAX_CONCURRENT_READS: usize = 32;
+/// Time after which changes of the machine list become visible.
 const MACHINE_LIST_DELAY: Duration = Duration::from_secs(5);
 
 struct Shared {
@@ -36,12 +36,12 @@
     faults: Mutex<ObjectFaults>,
     machines: Mutex<MachineList>,
     changed: Notify,
-    readers: AtomicUsize,
+    active_reads: AtomicUsize,
     requests: AtomicUsize,
     origin: Instant,
 }
 
-/// An emulated object API that listens on an address.
+/// A handle to a running emulated object API.
 #[derive(Clone)]
 pub struct ObjectServer {
     shared: Arc<Shared>,
@@ -50,7 +50,7 @@
 }
 
 impl ObjectServer {
-    /// Starts an empty object API.
+    /// Starts an empty object API on the address `at`.
     pub async fn start(at: SocketAddr) -> io::Result<Self> {
         let listener = listen_tcp(at)?;
         let address = listener.local_addr()?;
@@ -59,7 +59,7 @@
             faults: Mutex::default(),
             machines: Mutex::new(MachineList::new(MACHINE_LIST_DELAY)),
             changed: Notify::new(),
-            readers: AtomicUsize::new(0),
+            active_reads: AtomicUsize::new(0),
             requests: AtomicUsize::new(0),
             origin: Instant::now(),
         });
@@ -72,12 +72,12 @@
         Ok(Self { shared, address, stop })
     }
 
-    /// The address listened on.
+    /// Address that the API listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes an object from outside HTTP, whatever its version.
+    /// Writes an object directly and unconditionally; returns the new version.
     pub fn put(&self, name: &str, value: String) -> Result<u64, StoreError> {
         let mut store = lock(&self.shared.store);
         let expected = store.get(name).map_or(0, |object| object.version);
@@ -87,23 +87,23 @@
         version
     }
 
-    /// Changes the faults that the object API shows.
+    /// Changes the injected faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut ObjectFaults)) {
         change(&mut lock(&self.shared.faults));
     }
 
-    /// Notes a change of the machine list.
+    /// Changes the machine list; `None` removes the machine.
     pub fn set_machine(&self, ip: IpAddr, state: Option<MachineState>) {
         let now = self.shared.now();
         lock(&self.shared.machines).set(ip, state, now);
     }
 
-    /// Requests received so far.
+    /// Number of requests received, including failed ones.
     pub fn requests(&self) -> usize {
         self.shared.requests.load(Ordering::Relaxed)
     }
 
-    /// Stops the object API at once.
+    /// Stops the object API abruptly, like a crash.
     pub fn stop(&self) {
         self.stop.cancel();
     }
@@ -121,21 +121,21 @@
 
 #[derive(Debug, Deserialize)]
 struct ReadQuery {
-    /// Wait for a version after this one.
+    /// Wait for a version greater than this one.
     watch_after: Option<u64>,
 }
 
-/// Counts a reader for as long as it is served.
-struct Reader<'a>(&'a AtomicUsize);
+/// Decrements the number of active reads when dropped.
+struct ReadGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Reader<'_> {
+impl Drop for ReadGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Waits as the faults demand; an answer here takes the place of the real one.
-async fn show_faults(shared: &Shared) -> Option<Response> {
+/// Counts a request and applies the injected faults; `Some` replaces the regular answer.
+async fn apply_faults(shared: &Shared) -> Option<Response> {
     shared.requests.fetch_add(1, Ordering::Relaxed);
     let faults = lock(&shared.faults).clone();
     tokio::time::sleep(Duration::from_millis(faults.delay_millis)).await;
@@ -147,14 +147,14 @@
     Path(name): Path<String>,
     Query(query): Query<ReadQuery>,
 ) -> Response {
-    if let Some(response) = show_faults(&shared).await {
+    if let Some(response) = apply_faults(&shared).await {
         return response;
     }
-    if shared.readers.fetch_add(1, Ordering::Relaxed) >= MAX_READERS {
-        shared.readers.fetch_sub(1, Ordering::Relaxed);
+    if shared.active_reads.fetch_add(1, Ordering::Relaxed) >= MAX_CONCURRENT_READS {
+        shared.active_reads.fetch_sub(1, Ordering::Relaxed);
         return StatusCode::TOO_MANY_REQUESTS.into_response();
     }
-    let _reader = Reader(&shared.readers);
+    let _read_guard = ReadGuard(&shared.active_reads);
     match query.watch_after {
         None => object_response(lock(&shared.store).get(&name).cloned()),
         Some(version) => watch(&shared, &name, version).await,
@@ -162,7 +162,7 @@
 }
 
 async fn watch(shared: &Shared, name: &str, version: u64) -> Response {
-    let deadline = Instant::now() + WATCH_TIME;
+    let deadline = Instant::now() + WATCH_TIMEOUT;
     loop {
         let changed = shared.changed.notified();
         let state = lock(&shared.store).changed_since(name, version).map(|object| object.cloned());
@@ -194,21 +194,21 @@
     headers: HeaderMap,
     value: String,
 ) -> Response {
-    if let Some(response) = show_faults(&shared).await {
+    if let Some(response) = apply_faults(&shared).await {
         return response;
     }
     let expected = headers.get("if-match").and_then(|value| value.to_str().ok()).unwrap_or_default();
     let Ok(expected) = expected.parse::<u64>() else { return StatusCode::BAD_REQUEST.into_response() };
     let outcome = lock(&shared.store).put(&name, expected, value);
     shared.changed.notify_waiters();
-    let is_lost = {
+    let is_answer_lost = {
         let faults = &mut lock(&shared.faults);
-        let is_lost = outcome.is_ok() && faults.lose_answers > 0;
-        faults.lose_answers -= usize::from(is_lost);
-        is_lost
+        let is_answer_lost = outcome.is_ok() && faults.lost_answers > 0;
+        faults.lost_answers -= usize::from(is_answer_lost);
+        is_answer_lost
     };
-    if is_lost {
-        return lost_answer();
+    if is_answer_lost {
+        return broken_response();
     }
     match outcome {
         Ok(version) => Json(json!({"version": version})).into_response(),
@@ -216,15 +216,15 @@
     }
 }
 
-fn lost_answer() -> Response {
-    let cut = futures::stream::once(async {
+fn broken_response() -> Response {
+    let failing_body = futures::stream::once(async {
         Err::<bytes::Bytes, io::Error>(io::Error::new(io::ErrorKind::ConnectionReset, "lost"))
     });
-    Response::new(Body::from_stream(cut))
+    Response::new(Body::from_stream(failing_body))
 }
 
 async fn machines(State(shared): State<Arc<Shared>>) -> Response {
-    if let Some(response) = show_faults(&shared).await {
+    if let Some(response) = apply_faults(&shared).await {
         return response;
     }
     let machines: Vec<MachineEntry> = lock(&shared.machines).visible(shared.now());
--- a/crates/emulator/src/object_store.rs
+++ b/crates/emulator/src/object_store.rs
@@ -1,45 +1,44 @@
-//! The platform's object API as a model: versions, compare-and-set, watches that expire, a cap on readers.
+//! Model of the platform's object API: versions, compare-and-set and watches that expire.
 
 use std::collections::BTreeMap;
 
-/// Versions of one object that a watch may still begin from.
+/// A watch expires if it starts more than this many versions behind the current one.
 const WATCH_WINDOW: u64 = 100;
 
-/// An object with its version.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredObject {
-    /// Version, rising with each write of any object.
+    /// Store-wide version of the object's last write.
     pub version: u64,
-    /// Content.
     pub value: String,
 }
 
-/// Faults that the object API shows.
+/// Faults that the object API injects.
 #[derive(Debug, Clone, Default)]
 pub struct ObjectFaults {
-    /// Whether it is down.
+    /// Whether every request is answered with 503.
     pub is_down: bool,
-    /// Writes whose answer is lost after they took effect.
-    pub lose_answers: usize,
-    /// Milliseconds added to each answer.
+    /// Number of successful writes whose answers will be lost.
+    pub lost_answers: usize,
+    /// Delay of each request.
     pub delay_millis: u64,
 }
 
-/// A request was refused by the object API.
+/// Error of the object API.
+#[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// There is no such object.
     #[error("no such object")]
     NotFound,
-    /// The object has another version than the writer expected.
+    /// The object's version differs from the expected one; holds the current version, 0 if there is no object.
     #[error("the object's version is {0}")]
     Conflict(u64),
-    /// The watch began from a version that is no longer kept.
+    /// The watch started from a version that is too old.
     #[error("the watch expired")]
     Expired,
 }
 
-/// Objects by name.
+/// Objects by name, with one version counter.
 #[derive(Debug, Clone, Default)]
 pub struct ObjectStore {
     objects: BTreeMap<String, StoredObject>,
@@ -47,16 +46,16 @@
 }
 
 impl ObjectStore {
-    /// Reads an object.
+    /// Returns an object, or [`StoreError::NotFound`].
     pub fn get(&self, name: &str) -> Result<&StoredObject, StoreError> {
         self.objects.get(name).ok_or(StoreError::NotFound)
     }
 
-    /// Writes an object whose version is still `expected`; 0 stands for an object that does not exist yet.
+    /// Writes an object if its version is `expected`, where 0 means that it must not exist; returns the new version.
     pub fn put(&mut self, name: &str, expected: u64, value: String) -> Result<u64, StoreError> {
-        let present = self.objects.get(name).map_or(0, |object| object.version);
-        if present != expected {
-            return Err(StoreError::Conflict(present));
+        let current = self.objects.get(name).map_or(0, |object| object.version);
+        if current != expected {
+            return Err(StoreError::Conflict(current));
         }
         self.version += 1;
         let version = self.version;
@@ -64,7 +63,7 @@
         Ok(version)
     }
 
-    /// The object, if it changed after `version`.
+    /// Returns the object if it has changed since `version`; `None` if not, or if there is no such object.
     pub fn changed_since(&self, name: &str, version: u64) -> Result<Option<&StoredObject>, StoreError> {
         if version > 0 && version + WATCH_WINDOW < self.version {
             return Err(StoreError::Expired);
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -1,33 +1,30 @@
-//! Tokens, blocks and answers of emulated engines.
+//! Prompts, tokens, cache blocks and answers of emulated engines.
 //!
-//! A token is four bytes of the flattened prompt, and the answer is a function of the prompt. So a history that
-//! was lost or mixed on the way shows in the answer: whoever knows the right history can compute what the
-//! answer must be.
+//! A token is four bytes of the flattened prompt, and the answer is a function of the prompt. A lost or mixed-up history
+//! therefore changes the answer, and a test that knows the correct history can compute the expected one.
 
 use serde_json::Value;
 use sumacdrift_types::TokenCount;
 
 use crate::block_cache::BlockHash;
 
-/// Tokens to a cache block, as in common engines.
+/// Tokens per cache block, as in common engines.
 pub const BLOCK_TOKENS: usize = 16;
-/// Bytes to a token.
 const TOKEN_BYTES: usize = 4;
-/// Bytes to a block.
 const BLOCK_BYTES: usize = BLOCK_TOKENS * TOKEN_BYTES;
-/// Tokens of an answer whose prompt does not ask for a number.
+/// Answer length for prompts that don't request one.
 const DEFAULT_OUTPUT_TOKENS: TokenCount = 64;
-/// Marks the number of tokens that a prompt asks for.
-const LENGTH_MARK: &str = "[[tokens=";
+/// Precedes the answer length that a prompt requests, as in `[[tokens=64]]`.
+const LENGTH_MARKER: &str = "[[tokens=";
 
-/// A flattened prompt.
+/// A prompt, flattened to text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
     text: String,
 }
 
 impl Prompt {
-    /// Flattens messages, as a chat template does.
+    /// Flattens messages like a chat template.
     pub fn from_messages(messages: &[Value]) -> Self {
         let mut text = String::new();
         for message in messages {
@@ -36,15 +33,15 @@
         Self { text }
     }
 
-    /// The flattened text.
+    /// The prompt as text.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The prompt with the answer in place, as the next turn's prompt begins.
+    /// Returns the prompt followed by the answer, which is the beginning of the next turn's prompt.
     pub fn with_answer(&self, answer: &str) -> Prompt {
         let mut text = self.text.clone();
-        push_parts(&mut text, "assistant", answer);
+        push_turn(&mut text, "assistant", answer);
         Prompt { text }
     }
 }
@@ -56,10 +53,10 @@
         Some(Value::Null) | None => String::new(),
         Some(other) => other.to_string(),
     };
-    push_parts(text, role, &content);
+    push_turn(text, role, &content);
 }
 
-fn push_parts(text: &mut String, role: &str, content: &str) {
+fn push_turn(text: &mut String, role: &str, content: &str) {
     text.push_str("<|im_start|>");
     text.push_str(role);
     text.push('\n');
@@ -67,12 +64,12 @@
     text.push_str("<|im_end|>\n");
 }
 
-/// Tokens of a text.
+/// Number of tokens, with the last one possibly incomplete.
 pub fn count_tokens(text: &str) -> TokenCount {
     text.len().div_ceil(TOKEN_BYTES) as TokenCount
 }
 
-/// Chained hashes of the text's full blocks.
+/// Chained hashes of the text's complete blocks.
 pub fn block_hashes(text: &str) -> Vec<BlockHash> {
     let mut parent = BlockHash(0);
     let blocks = text.as_bytes().chunks_exact(BLOCK_BYTES);
@@ -84,16 +81,16 @@
         .collect()
 }
 
-/// Number of tokens that the engine answers, by the prompt's own wish and the caller's cap.
+/// Number of tokens of the answer: the length that the prompt requests, limited to 1..=`max_tokens`.
 pub fn output_length(prompt: &Prompt, max_tokens: TokenCount) -> TokenCount {
-    let wish = prompt.text.rfind(LENGTH_MARK).and_then(|start| {
-        let digits = &prompt.text[start + LENGTH_MARK.len()..];
+    let requested = prompt.text.rfind(LENGTH_MARKER).and_then(|start| {
+        let digits = &prompt.text[start + LENGTH_MARKER.len()..];
         digits.split("]]").next()?.parse::<TokenCount>().ok()
     });
-    wish.unwrap_or(DEFAULT_OUTPUT_TOKENS).clamp(1, max_tokens.max(1))
+    requested.unwrap_or(DEFAULT_OUTPUT_TOKENS).clamp(1, max_tokens.max(1))
 }
 
-/// The first `tokens` tokens of the answer to a prompt.
+/// Generates the first `tokens` tokens of the answer to a prompt.
 pub fn answer_text(prompt: &Prompt, tokens: TokenCount) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(prompt.text.as_bytes());
--- a/crates/emulator/src/tool_service.rs
+++ b/crates/emulator/src/tool_service.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP service: tools, hooks and notices, which may hang, fail or lose their answer.
+//! A plain HTTP service for tools, hooks and notifications, with fault injection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,27 +15,27 @@
 
 use crate::server::spawn_server;
 
-/// One request that the service carried out.
+/// A request that the service has executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct ToolExecution {
-    /// Method and path.
+    /// Method and URI.
     pub operation: String,
-    /// The caller's idempotency key.
+    /// Value of the `idempotency-key` header.
     pub key: Option<String>,
-    /// The request id that the system sent along.
+    /// Value of the `x-request-id` header, empty if there is none.
     pub call: String,
-    /// The body.
     pub body: Vec<u8>,
 }
 
-/// Faults that the service shows, each for a number of requests.
+/// Faults to inject, each for a number of requests and in the order of the fields.
 #[derive(Debug, Clone, Default)]
 pub struct ToolFaults {
-    /// Requests that are carried out and whose answer is lost with the connection.
+    /// Requests to execute with the connection broken before the answer.
     pub lose_answer: usize,
-    /// Requests that hang for ever without being carried out.
+    /// Requests to leave unanswered and not execute.
     pub hang: usize,
-    /// Requests that fail with status 500 without being carried out.
+    /// Requests to answer with status 500 and not execute.
     pub fail: usize,
 }
 
@@ -45,7 +45,7 @@
     faults: Mutex<ToolFaults>,
 }
 
-/// An emulated service that listens on an address.
+/// A handle to a running emulated service.
 #[derive(Clone)]
 pub struct ToolServer {
     shared: Arc<Shared>,
@@ -54,33 +54,33 @@
 }
 
 impl ToolServer {
-    /// Starts a service.
+    /// Starts a service on the address `at`.
     pub async fn start(at: SocketAddr) -> io::Result<Self> {
         let listener = listen_tcp(at)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
         let stop = CancellationToken::new();
-        let router = Router::new().fallback(execute).with_state(Arc::clone(&shared));
+        let router = Router::new().fallback(handle_request).with_state(Arc::clone(&shared));
         spawn_server(listener, router, stop.clone());
         Ok(Self { shared, address, stop })
     }
 
-    /// The address listened on.
+    /// Address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Everything carried out so far.
+    /// Requests executed so far, in order.
     pub fn executions(&self) -> Vec<ToolExecution> {
         lock(&self.shared.executions).clone()
     }
 
-    /// Changes the faults that the service shows.
+    /// Changes the pending faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut ToolFaults)) {
         change(&mut lock(&self.shared.faults));
     }
 
-    /// Stops the service at once, as a crash does.
+    /// Stops the service abruptly, like a crash.
     pub fn stop(&self) {
         self.stop.cancel();
     }
@@ -98,9 +98,9 @@
 
 fn next_fault(faults: &mut ToolFaults) -> Option<Fault> {
     let take = |count: &mut usize| {
-        let is_due = *count > 0;
-        *count -= usize::from(is_due);
-        is_due
+        let is_pending = *count > 0;
+        *count -= usize::from(is_pending);
+        is_pending
     };
     if take(&mut faults.lose_answer) {
         return Some(Fault::LoseAnswer);
@@ -111,7 +111,7 @@
     take(&mut faults.fail).then_some(Fault::Fail)
 }
 
-async fn execute(
+async fn handle_request(
     State(shared): State<Arc<Shared>>,
     method: Method,
     uri: Uri,
@@ -137,15 +137,15 @@
         executions.len()
     };
     if matches!(fault, Some(Fault::LoseAnswer)) {
-        return broken_answer();
+        return broken_response();
     }
     axum::Json(json!({"operation": execution.operation, "number": number})).into_response()
 }
 
-/// An answer whose connection breaks before the first byte of the body.
-fn broken_answer() -> Response {
-    let cut = futures::stream::once(async {
+/// A response whose connection breaks before the first byte of the body.
+fn broken_response() -> Response {
+    let failing_body = futures::stream::once(async {
         Err::<Bytes, io::Error>(io::Error::new(io::ErrorKind::ConnectionReset, "lost"))
     });
-    Response::new(Body::from_stream(cut))
+    Response::new(Body::from_stream(failing_body))
 }
