--- a/crates/proto/src/basic.rs
+++ b/crates/proto/src/basic.rs
@@ -1,11 +1,11 @@
-//! Messages for the shared vocabulary.
+//! Messages for types that several other messages share.
 
 use std::time::Duration;
 
 use sumacdrift_program::{BudgetLimits, LedgerKey, Reservation, Runner, ServiceResponse};
 use sumacdrift_types::{CallId, Incarnation, NodeId, Problem, Ran, ResultCode, Timestamp, TurnNumber, Usage};
 
-use crate::wire::{DecodeError, Wire, name};
+use crate::wire::{DecodeError, Wire, parse_name};
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CallMessage {
@@ -34,7 +34,7 @@
     pub code: u32,
     #[prost(string, tag = "2")]
     pub detail: String,
-    /// 0 not run, 1 run, 2 unknown.
+    /// Whether the call ran: 0 no, 1 yes, any other value unknown.
     #[prost(uint32, tag = "3")]
     pub ran: u32,
     #[prost(uint64, optional, tag = "4")]
@@ -202,9 +202,9 @@
 
     fn from_wire(message: LedgerKeyMessage) -> Result<Self, DecodeError> {
         Ok(LedgerKey {
-            tenant: name(message.tenant, "tenant")?,
-            service: name(message.service, "service")?,
-            key: name(message.key, "key")?,
+            tenant: parse_name(message.tenant, "tenant")?,
+            service: parse_name(message.service, "service")?,
+            key: parse_name(message.key, "key")?,
         })
     }
 }
@@ -236,12 +236,11 @@
     }
 }
 
-/// A turn as an optional field: absent stands for the next one.
-pub(crate) fn turn_field(turn: Option<TurnNumber>) -> Option<u32> {
+/// `None` stands for the next turn.
+pub(crate) fn encode_turn(turn: Option<TurnNumber>) -> Option<u32> {
     turn.map(|turn| turn.0)
 }
 
-/// A point in time as a field.
-pub(crate) fn time_field(time: Timestamp) -> u64 {
+pub(crate) fn encode_timestamp(time: Timestamp) -> u64 {
     time.0
 }
--- a/crates/proto/src/command.rs
+++ b/crates/proto/src/command.rs
@@ -1,4 +1,4 @@
-//! Messages for requests to a shard's leader.
+//! Messages for commands to a shard's leader.
 
 use std::time::Duration;
 
@@ -7,11 +7,12 @@
 
 use crate::basic::{
     CallMessage, LedgerKeyMessage, LimitsMessage, ReservationMessage, RunnerMessage, ServiceResponseMessage,
-    UsageMessage, time_field, turn_field,
+    UsageMessage, encode_timestamp, encode_turn,
 };
-use crate::entry::{AnswerMessage, chat_messages, chat_texts};
+use crate::entry::{AnswerMessage, decode_chat_messages, encode_chat_messages};
 use crate::wire::{
-    DecodeError, Wire, fixed, name, names, optional_name, required, required_value, text_or_empty, texts,
+    DecodeError, Wire, decode_required, parse_name, parse_names, parse_optional_name, require_field,
+    to_array, to_string_or_empty, to_strings,
 };
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -194,37 +195,37 @@
             call: Some(self.call.to_wire()),
             program: self.program.to_string(),
             tenant: self.tenant.to_string(),
-            parent: text_or_empty(&self.parent),
-            turn: turn_field(self.turn),
-            key: text_or_empty(&self.key),
+            parent: to_string_or_empty(&self.parent),
+            turn: encode_turn(self.turn),
+            key: to_string_or_empty(&self.key),
             is_append: self.mode == HistoryMode::Append,
             known_length: self.known_prefix.length as u64,
             known_digest: self.known_prefix.digest.0.to_vec(),
-            messages: chat_texts(&self.messages),
+            messages: encode_chat_messages(&self.messages),
             wanted_output: self.wanted_output,
             limits: Some(self.limits.to_wire()),
             runner: Some(self.runner.to_wire()),
-            wait_until_micros: time_field(self.wait_until),
+            wait_until_micros: encode_timestamp(self.wait_until),
             run_limit_micros: self.run_limit.as_micros() as u64,
         }
     }
 
     fn from_wire(message: BeginTurnMessage) -> Result<Self, DecodeError> {
-        let digest = PrefixDigest(fixed(&message.known_digest, "known_digest")?);
+        let digest = PrefixDigest(to_array(&message.known_digest, "known_digest")?);
         let mode = if message.is_append { HistoryMode::Append } else { HistoryMode::Full };
         Ok(BeginTurn {
-            call: required_value(message.call, "call")?,
-            program: name(message.program, "program")?,
-            tenant: name(message.tenant, "tenant")?,
-            parent: optional_name(message.parent, "parent")?,
+            call: decode_required(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            tenant: parse_name(message.tenant, "tenant")?,
+            parent: parse_optional_name(message.parent, "parent")?,
             turn: message.turn.map(TurnNumber),
-            key: optional_name(message.key, "key")?,
+            key: parse_optional_name(message.key, "key")?,
             mode,
             known_prefix: KnownPrefix { length: message.known_length as usize, digest },
-            messages: chat_messages(message.messages),
+            messages: decode_chat_messages(message.messages),
             wanted_output: message.wanted_output,
-            limits: required_value(message.limits, "limits")?,
-            runner: required_value(message.runner, "runner")?,
+            limits: decode_required(message.limits, "limits")?,
+            runner: decode_required(message.runner, "runner")?,
             wait_until: Timestamp(message.wait_until_micros),
             run_limit: Duration::from_micros(message.run_limit_micros),
         })
@@ -241,19 +242,19 @@
             answer: Some(self.answer.to_wire()),
             usage: Some(self.usage.to_wire()),
             engine: self.engine.to_string(),
-            other_engines: texts(&self.other_engines),
+            other_engines: to_strings(&self.other_engines),
             reason: self.reason.clone(),
         }
     }
 
     fn from_wire(message: FinishTurnMessage) -> Result<Self, DecodeError> {
         Ok(FinishTurn {
-            program: name(message.program, "program")?,
-            call: required_value(message.call, "call")?,
-            answer: required_value(message.answer, "answer")?,
-            usage: required_value(message.usage, "usage")?,
-            engine: name(message.engine, "engine")?,
-            other_engines: names(message.other_engines, "other_engines")?,
+            program: parse_name(message.program, "program")?,
+            call: decode_required(message.call, "call")?,
+            answer: decode_required(message.answer, "answer")?,
+            usage: decode_required(message.usage, "usage")?,
+            engine: parse_name(message.engine, "engine")?,
+            other_engines: parse_names(message.other_engines, "other_engines")?,
             reason: message.reason,
         })
     }
@@ -263,15 +264,15 @@
     type Message = CommandMessage;
 
     fn to_wire(&self) -> CommandMessage {
-        CommandMessage { kind: Some(command_kind(self)) }
+        CommandMessage { kind: Some(encode_command(self)) }
     }
 
     fn from_wire(message: CommandMessage) -> Result<Self, DecodeError> {
-        command_value(required(message.kind, "kind")?)
+        decode_command(require_field(message.kind, "kind")?)
     }
 }
 
-fn service_call(
+fn encode_service_call(
     key: &sumacdrift_program::LedgerKey,
     call: &sumacdrift_types::CallId,
     response: Option<ServiceResponseMessage>,
@@ -279,7 +280,7 @@
     ServiceCallMessage { key: Some(key.to_wire()), call: Some(call.to_wire()), response }
 }
 
-fn command_kind(command: &Command) -> CommandKind {
+fn encode_command(command: &Command) -> CommandKind {
     match command {
         Command::BeginTurn(begin) => CommandKind::BeginTurn(begin.to_wire()),
         Command::FinishTurn(finish) => CommandKind::FinishTurn(finish.to_wire()),
@@ -288,7 +289,7 @@
                 program: program.to_string(),
                 call: Some(call.to_wire()),
                 output_tokens: *output_tokens,
-                engines: texts(engines),
+                engines: to_strings(engines),
                 reason: reason.clone(),
             })
         }
@@ -312,7 +313,7 @@
         Command::EndProgram { call, program, tenant } => CommandKind::EndProgram(ProgramCallMessage {
             call: Some(call.to_wire()),
             program: program.to_string(),
-            tenant: text_or_empty(tenant),
+            tenant: to_string_or_empty(tenant),
             ..Default::default()
         }),
         Command::Describe { call, program, tenant, page } => CommandKind::Describe(ProgramCallMessage {
@@ -322,9 +323,10 @@
             first_message: page.first_message as u64,
             messages: page.messages as u64,
         }),
-        Command::ListGone { call, programs } => {
-            CommandKind::ListGone(ListGoneMessage { call: Some(call.to_wire()), programs: texts(programs) })
-        }
+        Command::ListGone { call, programs } => CommandKind::ListGone(ListGoneMessage {
+            call: Some(call.to_wire()),
+            programs: to_strings(programs),
+        }),
         Command::BeginService(begin) => CommandKind::BeginService(BeginServiceMessage {
             call: Some(begin.call.to_wire()),
             key: Some(begin.key.to_wire()),
@@ -333,74 +335,76 @@
             run_limit_micros: begin.run_limit.as_micros() as u64,
         }),
         Command::FinishService { key, call, response } => {
-            CommandKind::FinishService(service_call(key, call, Some(response.to_wire())))
+            CommandKind::FinishService(encode_service_call(key, call, Some(response.to_wire())))
+        }
+        Command::ReleaseService { key, call } => {
+            CommandKind::ReleaseService(encode_service_call(key, call, None))
         }
-        Command::ReleaseService { key, call } => CommandKind::ReleaseService(service_call(key, call, None)),
-        Command::LoseService { key, call } => CommandKind::LoseService(service_call(key, call, None)),
+        Command::LoseService { key, call } => CommandKind::LoseService(encode_service_call(key, call, None)),
     }
 }
 
-fn command_value(kind: CommandKind) -> Result<Command, DecodeError> {
+fn decode_command(kind: CommandKind) -> Result<Command, DecodeError> {
     Ok(match kind {
         CommandKind::BeginTurn(message) => Command::BeginTurn(Box::new(BeginTurn::from_wire(message)?)),
         CommandKind::FinishTurn(message) => Command::FinishTurn(Box::new(FinishTurn::from_wire(message)?)),
         CommandKind::AbandonTurn(message) => Command::AbandonTurn {
-            program: name(message.program, "program")?,
-            call: required_value(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            call: decode_required(message.call, "call")?,
             output_tokens: message.output_tokens,
-            engines: names(message.engines, "engines")?,
+            engines: parse_names(message.engines, "engines")?,
             reason: message.reason,
         },
         CommandKind::ForgetWaiting(message) => Command::ForgetWaiting {
-            program: name(message.program, "program")?,
-            call: required_value(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            call: decode_required(message.call, "call")?,
         },
         CommandKind::GrantChild(message) => Command::GrantChild(GrantChild {
-            call: required_value(message.call, "call")?,
-            parent: name(message.parent, "parent")?,
-            child: name(message.child, "child")?,
-            tenant: name(message.tenant, "tenant")?,
+            call: decode_required(message.call, "call")?,
+            parent: parse_name(message.parent, "parent")?,
+            child: parse_name(message.child, "child")?,
+            tenant: parse_name(message.tenant, "tenant")?,
             share_percent: message.share_percent,
         }),
         CommandKind::ReturnChild(message) => Command::ReturnChild {
-            parent: name(message.parent, "parent")?,
-            child: name(message.child, "child")?,
-            unused: required_value(message.unused, "unused")?,
+            parent: parse_name(message.parent, "parent")?,
+            child: parse_name(message.child, "child")?,
+            unused: decode_required(message.unused, "unused")?,
         },
         CommandKind::EndProgram(message) => Command::EndProgram {
-            call: required_value(message.call, "call")?,
-            program: name(message.program, "program")?,
-            tenant: optional_name(message.tenant, "tenant")?,
+            call: decode_required(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            tenant: parse_optional_name(message.tenant, "tenant")?,
         },
         CommandKind::Describe(message) => Command::Describe {
-            call: required_value(message.call, "call")?,
-            program: name(message.program, "program")?,
-            tenant: name(message.tenant, "tenant")?,
+            call: decode_required(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            tenant: parse_name(message.tenant, "tenant")?,
             page: Page { first_message: message.first_message as usize, messages: message.messages as usize },
         },
         CommandKind::ListGone(message) => Command::ListGone {
-            call: required_value(message.call, "call")?,
-            programs: names(message.programs, "programs")?,
+            call: decode_required(message.call, "call")?,
+            programs: parse_names(message.programs, "programs")?,
         },
         CommandKind::BeginService(message) => Command::BeginService(BeginService {
-            call: required_value(message.call, "call")?,
-            key: required_value(message.key, "key")?,
-            request: fixed(&message.request, "request")?,
-            runner: required_value(message.runner, "runner")?,
+            call: decode_required(message.call, "call")?,
+            key: decode_required(message.key, "key")?,
+            request: to_array(&message.request, "request")?,
+            runner: decode_required(message.runner, "runner")?,
             run_limit: Duration::from_micros(message.run_limit_micros),
         }),
         CommandKind::FinishService(message) => Command::FinishService {
-            key: required_value(message.key, "key")?,
-            call: required_value(message.call, "call")?,
-            response: required_value(message.response, "response")?,
+            key: decode_required(message.key, "key")?,
+            call: decode_required(message.call, "call")?,
+            response: decode_required(message.response, "response")?,
         },
         CommandKind::ReleaseService(message) => Command::ReleaseService {
-            key: required_value(message.key, "key")?,
-            call: required_value(message.call, "call")?,
+            key: decode_required(message.key, "key")?,
+            call: decode_required(message.call, "call")?,
         },
         CommandKind::LoseService(message) => Command::LoseService {
-            key: required_value(message.key, "key")?,
-            call: required_value(message.call, "call")?,
+            key: decode_required(message.key, "key")?,
+            call: decode_required(message.call, "call")?,
         },
     })
 }
--- a/crates/proto/src/entry.rs
+++ b/crates/proto/src/entry.rs
@@ -1,4 +1,4 @@
-//! Messages for the entries of program shards: the replicated log and its snapshots.
+//! Messages for entries of a program shard, as stored in its replicated log and snapshots.
 
 use bytes::Bytes;
 use prost::Message;
@@ -9,10 +9,11 @@
 
 use crate::basic::{
     CallMessage, LedgerKeyMessage, LimitsMessage, ReservationMessage, RunnerMessage, ServiceResponseMessage,
-    UsageMessage, time_field,
+    UsageMessage, encode_timestamp,
 };
 use crate::wire::{
-    DecodeError, Wire, fixed, name, names, optional_name, required, required_value, text_or_empty, texts,
+    DecodeError, Wire, decode_required, parse_name, parse_names, parse_optional_name, require_field,
+    to_array, to_string_or_empty, to_strings,
 };
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -198,23 +199,23 @@
     entries: Vec<EntryMessage>,
 }
 
-/// Writes one entry.
+/// Serializes a log entry.
 pub fn encode_entry(entry: &Entry) -> Bytes {
     entry.encode()
 }
 
-/// Reads one entry.
+/// Deserializes a log entry.
 pub fn decode_entry(bytes: Bytes) -> Result<Entry, DecodeError> {
     Entry::decode(bytes)
 }
 
-/// Writes a list of entries: a snapshot.
+/// Serializes the entries of a snapshot.
 pub fn encode_entries(entries: &[Entry]) -> Bytes {
     let message = EntriesMessage { entries: entries.iter().map(Entry::to_wire).collect() };
     Bytes::from(message.encode_to_vec())
 }
 
-/// Reads a list of entries.
+/// Deserializes the entries of a snapshot.
 pub fn decode_entries(bytes: Bytes) -> Result<Vec<Entry>, DecodeError> {
     let message = EntriesMessage::decode(bytes)?;
     message.entries.into_iter().map(Entry::from_wire).collect()
@@ -234,17 +235,17 @@
     }
 }
 
-/// Chat messages as text fields.
-pub(crate) fn chat_texts(messages: &[ChatMessage]) -> Vec<String> {
+/// Each message becomes its canonical JSON text.
+pub(crate) fn encode_chat_messages(messages: &[ChatMessage]) -> Vec<String> {
     messages.iter().map(|message| message.canonical().to_owned()).collect()
 }
 
-/// Text fields as chat messages.
-pub(crate) fn chat_messages(texts: Vec<String>) -> Vec<ChatMessage> {
+/// Expects canonical JSON texts.
+pub(crate) fn decode_chat_messages(texts: Vec<String>) -> Vec<ChatMessage> {
     texts.into_iter().map(ChatMessage::from_canonical).collect()
 }
 
-fn reason_field(reason: EndReason) -> u32 {
+fn encode_end_reason(reason: EndReason) -> u32 {
     match reason {
         EndReason::Caller => 0,
         EndReason::LeaseExpired => 1,
@@ -252,7 +253,7 @@
     }
 }
 
-fn reason_value(field: u32) -> Result<EndReason, DecodeError> {
+fn decode_end_reason(field: u32) -> Result<EndReason, DecodeError> {
     match field {
         0 => Ok(EndReason::Caller),
         1 => Ok(EndReason::LeaseExpired),
@@ -268,18 +269,18 @@
         ProgramOpenedMessage {
             program: self.program.to_string(),
             tenant: self.tenant.to_string(),
-            parent: text_or_empty(&self.parent),
+            parent: to_string_or_empty(&self.parent),
             limits: Some(self.limits.to_wire()),
-            at_micros: time_field(self.at),
+            at_micros: encode_timestamp(self.at),
         }
     }
 
     fn from_wire(message: ProgramOpenedMessage) -> Result<Self, DecodeError> {
         Ok(ProgramOpened {
-            program: name(message.program, "program")?,
-            tenant: name(message.tenant, "tenant")?,
-            parent: optional_name(message.parent, "parent")?,
-            limits: required_value(message.limits, "limits")?,
+            program: parse_name(message.program, "program")?,
+            tenant: parse_name(message.tenant, "tenant")?,
+            parent: parse_optional_name(message.parent, "parent")?,
+            limits: decode_required(message.limits, "limits")?,
             at: Timestamp(message.at_micros),
         })
     }
@@ -293,23 +294,23 @@
             program: self.program.to_string(),
             call: Some(self.call.to_wire()),
             turn: self.turn.0,
-            key: text_or_empty(&self.key),
-            messages: chat_texts(&self.messages),
+            key: to_string_or_empty(&self.key),
+            messages: encode_chat_messages(&self.messages),
             reserved: Some(self.reserved.to_wire()),
             runner: Some(self.runner.to_wire()),
-            give_up_at_micros: time_field(self.give_up_at),
+            give_up_at_micros: encode_timestamp(self.give_up_at),
         }
     }
 
     fn from_wire(message: TurnAcceptedMessage) -> Result<Self, DecodeError> {
         Ok(TurnAccepted {
-            program: name(message.program, "program")?,
-            call: required_value(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            call: decode_required(message.call, "call")?,
             turn: TurnNumber(message.turn),
-            key: optional_name(message.key, "key")?,
-            messages: chat_messages(message.messages),
-            reserved: required_value(message.reserved, "reserved")?,
-            runner: required_value(message.runner, "runner")?,
+            key: parse_optional_name(message.key, "key")?,
+            messages: decode_chat_messages(message.messages),
+            reserved: decode_required(message.reserved, "reserved")?,
+            runner: decode_required(message.runner, "runner")?,
             give_up_at: Timestamp(message.give_up_at_micros),
         })
     }
@@ -325,18 +326,18 @@
             answer: Some(self.answer.to_wire()),
             usage: Some(self.usage.to_wire()),
             engine: self.engine.to_string(),
-            other_engines: texts(&self.other_engines),
+            other_engines: to_strings(&self.other_engines),
         }
     }
 
     fn from_wire(message: TurnCommittedMessage) -> Result<Self, DecodeError> {
         Ok(TurnCommitted {
-            program: name(message.program, "program")?,
-            call: required_value(message.call, "call")?,
-            answer: required_value(message.answer, "answer")?,
-            usage: required_value(message.usage, "usage")?,
-            engine: name(message.engine, "engine")?,
-            other_engines: names(message.other_engines, "other_engines")?,
+            program: parse_name(message.program, "program")?,
+            call: decode_required(message.call, "call")?,
+            answer: decode_required(message.answer, "answer")?,
+            usage: decode_required(message.usage, "usage")?,
+            engine: parse_name(message.engine, "engine")?,
+            other_engines: parse_names(message.other_engines, "other_engines")?,
         })
     }
 }
@@ -349,16 +350,16 @@
             program: self.program.to_string(),
             call: Some(self.call.to_wire()),
             output_tokens: self.output_tokens,
-            engines: texts(&self.engines),
+            engines: to_strings(&self.engines),
         }
     }
 
     fn from_wire(message: TurnAbandonedMessage) -> Result<Self, DecodeError> {
         Ok(TurnAbandoned {
-            program: name(message.program, "program")?,
-            call: required_value(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            call: decode_required(message.call, "call")?,
             output_tokens: message.output_tokens,
-            engines: names(message.engines, "engines")?,
+            engines: parse_names(message.engines, "engines")?,
         })
     }
 }
@@ -372,16 +373,16 @@
             request: self.request.to_vec(),
             call: Some(self.call.to_wire()),
             runner: Some(self.runner.to_wire()),
-            give_up_at_micros: time_field(self.give_up_at),
+            give_up_at_micros: encode_timestamp(self.give_up_at),
         }
     }
 
     fn from_wire(message: ServiceAcceptedMessage) -> Result<Self, DecodeError> {
         Ok(ServiceAccepted {
-            key: required_value(message.key, "key")?,
-            request: fixed(&message.request, "request")?,
-            call: required_value(message.call, "call")?,
-            runner: required_value(message.runner, "runner")?,
+            key: decode_required(message.key, "key")?,
+            request: to_array(&message.request, "request")?,
+            call: decode_required(message.call, "call")?,
+            runner: decode_required(message.runner, "runner")?,
             give_up_at: Timestamp(message.give_up_at_micros),
         })
     }
@@ -391,15 +392,15 @@
     type Message = EntryMessage;
 
     fn to_wire(&self) -> EntryMessage {
-        EntryMessage { kind: Some(entry_kind(self)) }
+        EntryMessage { kind: Some(encode_entry_kind(self)) }
     }
 
     fn from_wire(message: EntryMessage) -> Result<Self, DecodeError> {
-        entry_value(required(message.kind, "kind")?)
+        decode_entry_kind(require_field(message.kind, "kind")?)
     }
 }
 
-fn entry_kind(entry: &Entry) -> EntryKind {
+fn encode_entry_kind(entry: &Entry) -> EntryKind {
     match entry {
         Entry::LeaderStarted => EntryKind::LeaderStarted(EmptyMessage {}),
         Entry::ProgramOpened(opened) => EntryKind::ProgramOpened(opened.to_wire()),
@@ -421,8 +422,8 @@
         }),
         Entry::ProgramEnded { program, reason, at } => EntryKind::ProgramEnded(ProgramEndedMessage {
             program: program.to_string(),
-            reason: reason_field(*reason),
-            at_micros: time_field(*at),
+            reason: encode_end_reason(*reason),
+            at_micros: encode_timestamp(*at),
         }),
         Entry::ProgramForgotten { program } => EntryKind::ProgramForgotten(program.to_string()),
         Entry::ServiceAccepted(accepted) => EntryKind::ServiceAccepted(accepted.to_wire()),
@@ -431,7 +432,7 @@
                 key: Some(key.to_wire()),
                 call: Some(call.to_wire()),
                 response: Some(response.to_wire()),
-                at_micros: time_field(*at),
+                at_micros: encode_timestamp(*at),
             })
         }
         Entry::ServiceReleased { key, call } => EntryKind::ServiceReleased(ServiceSettledMessage {
@@ -444,13 +445,13 @@
             key: Some(key.to_wire()),
             call: Some(call.to_wire()),
             response: None,
-            at_micros: time_field(*at),
+            at_micros: encode_timestamp(*at),
         }),
         Entry::ServiceForgotten { key } => EntryKind::ServiceForgotten(key.to_wire()),
     }
 }
 
-fn entry_value(kind: EntryKind) -> Result<Entry, DecodeError> {
+fn decode_entry_kind(kind: EntryKind) -> Result<Entry, DecodeError> {
     Ok(match kind {
         EntryKind::LeaderStarted(_) => Entry::LeaderStarted,
         EntryKind::ProgramOpened(message) => Entry::ProgramOpened(ProgramOpened::from_wire(message)?),
@@ -460,41 +461,41 @@
         }
         EntryKind::TurnAbandoned(message) => Entry::TurnAbandoned(TurnAbandoned::from_wire(message)?),
         EntryKind::Charged(message) => Entry::Charged {
-            program: name(message.program, "program")?,
-            used: required_value(message.used, "used")?,
+            program: parse_name(message.program, "program")?,
+            used: decode_required(message.used, "used")?,
         },
         EntryKind::ChildGranted(message) => Entry::ChildGranted {
-            parent: name(message.parent, "parent")?,
-            child: name(message.child, "child")?,
-            limits: required_value(message.limits, "limits")?,
+            parent: parse_name(message.parent, "parent")?,
+            child: parse_name(message.child, "child")?,
+            limits: decode_required(message.limits, "limits")?,
         },
         EntryKind::ChildReturned(message) => Entry::ChildReturned {
-            parent: name(message.parent, "parent")?,
-            child: name(message.child, "child")?,
-            unused: required_value(message.unused, "unused")?,
+            parent: parse_name(message.parent, "parent")?,
+            child: parse_name(message.child, "child")?,
+            unused: decode_required(message.unused, "unused")?,
         },
         EntryKind::ProgramEnded(message) => Entry::ProgramEnded {
-            program: name(message.program, "program")?,
-            reason: reason_value(message.reason)?,
+            program: parse_name(message.program, "program")?,
+            reason: decode_end_reason(message.reason)?,
             at: Timestamp(message.at_micros),
         },
         EntryKind::ProgramForgotten(program) => {
-            Entry::ProgramForgotten { program: name(program, "program")? }
+            Entry::ProgramForgotten { program: parse_name(program, "program")? }
         }
         EntryKind::ServiceAccepted(message) => Entry::ServiceAccepted(ServiceAccepted::from_wire(message)?),
         EntryKind::ServiceCommitted(message) => Entry::ServiceCommitted {
-            key: required_value(message.key, "key")?,
-            call: required_value(message.call, "call")?,
-            response: required_value(message.response, "response")?,
+            key: decode_required(message.key, "key")?,
+            call: decode_required(message.call, "call")?,
+            response: decode_required(message.response, "response")?,
             at: Timestamp(message.at_micros),
         },
         EntryKind::ServiceReleased(message) => Entry::ServiceReleased {
-            key: required_value(message.key, "key")?,
-            call: required_value(message.call, "call")?,
+            key: decode_required(message.key, "key")?,
+            call: decode_required(message.call, "call")?,
         },
         EntryKind::ServiceUnknown(message) => Entry::ServiceUnknown {
-            key: required_value(message.key, "key")?,
-            call: required_value(message.call, "call")?,
+            key: decode_required(message.key, "key")?,
+            call: decode_required(message.call, "call")?,
             at: Timestamp(message.at_micros),
         },
         EntryKind::ServiceForgotten(message) => Entry::ServiceForgotten { key: Wire::from_wire(message)? },
--- a/crates/proto/src/frame.rs
+++ b/crates/proto/src/frame.rs
@@ -1,28 +1,28 @@
-//! Frames: what travels on a connection between two nodes.
+//! The unit of transmission on a connection between two nodes.
 
 use crate::request::{OneWayMessage, RequestMessage, ResponseMessage};
-use crate::wire::{DecodeError, required};
+use crate::wire::{DecodeError, require_field};
 use crate::{OneWay, Request, Response, Wire};
 
-/// One frame.
+/// A message with the id of the exchange that it belongs to.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub struct Frame {
-    /// Pairs a response with its request; 0 on one-way messages.
+    /// Correlates a response with its request; 0 for one-way messages.
     pub exchange: u64,
-    /// Content.
     pub body: FrameBody,
 }
 
-/// The content of a frame.
+/// The payload of a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrameBody {
-    /// A request.
+    /// Expects one response with the same exchange id.
     Request(Request),
-    /// The answer to the request of the same exchange.
+    /// Answers the request with the same exchange id.
     Response(Response),
-    /// The asker no longer waits for the answer.
+    /// Cancels the request with the same exchange id: its sender no longer waits.
     Abandon,
-    /// A message without answer.
+    /// A message that gets no response.
     OneWay(OneWay),
 }
 
@@ -60,7 +60,7 @@
     }
 
     fn from_wire(message: FrameMessage) -> Result<Self, DecodeError> {
-        let body = match required(message.body, "body")? {
+        let body = match require_field(message.body, "body")? {
             BodyKind::Request(message) => FrameBody::Request(Request::from_wire(message)?),
             BodyKind::Response(message) => FrameBody::Response(Response::from_wire(message)?),
             BodyKind::Abandon(_) => FrameBody::Abandon,
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,8 +1,8 @@
-//! The internal protocol: how typed messages are written as protocol buffers.
+//! Node-to-node protocol: conversion between typed messages and protocol buffers.
 //!
-//! The message structures carry `prost` attributes instead of being generated from `.proto` files, so that the
-//! build needs no generator. Field numbers are never reused; a reader ignores fields that it does not know, so
-//! nodes of neighbouring versions understand each other.
+//! Message structs carry `prost` attributes instead of being generated from `.proto` files, so the build needs no
+//! code generator. Field numbers are never reused and unknown fields are ignored, so nodes of adjacent versions
+//! can talk to each other.
 
 mod basic;
 mod command;
--- a/crates/proto/src/membership.rs
+++ b/crates/proto/src/membership.rs
@@ -6,7 +6,7 @@
 use sumacdrift_types::{Generation, Incarnation, NodeId};
 
 use crate::entry::EmptyMessage;
-use crate::wire::{DecodeError, Wire, messages, name, required, required_value, values};
+use crate::wire::{DecodeError, Wire, decode_list, decode_required, encode_list, parse_name, require_field};
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MemberMessage {
@@ -21,7 +21,7 @@
     pub state: u32,
     #[prost(bool, tag = "5")]
     pub is_leaving: bool,
-    /// 4 or 16 bytes.
+    /// 4 bytes for IPv4, 16 for IPv6.
     #[prost(bytes = "vec", tag = "6")]
     pub ip: Vec<u8>,
     #[prost(uint32, tag = "7")]
@@ -34,14 +34,14 @@
     pub roles: u32,
 }
 
-fn ip_field(address: &SocketAddr) -> Vec<u8> {
+fn encode_ip(address: &SocketAddr) -> Vec<u8> {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
     }
 }
 
-fn ip_value(bytes: &[u8]) -> Result<IpAddr, DecodeError> {
+fn decode_ip(bytes: &[u8]) -> Result<IpAddr, DecodeError> {
     if let Ok(octets) = <[u8; 4]>::try_from(bytes) {
         return Ok(IpAddr::V4(Ipv4Addr::from(octets)));
     }
@@ -59,7 +59,7 @@
             refutation: self.refutation,
             state: self.state as u32,
             is_leaving: self.is_leaving,
-            ip: ip_field(&self.address),
+            ip: encode_ip(&self.address),
             port: u32::from(self.address.port()),
             region: self.region.to_string(),
             zone: self.zone.to_string(),
@@ -81,9 +81,9 @@
             refutation: message.refutation,
             state,
             is_leaving: message.is_leaving,
-            address: SocketAddr::new(ip_value(&message.ip)?, port),
-            region: name(message.region, "region")?,
-            zone: name(message.zone, "zone")?,
+            address: SocketAddr::new(decode_ip(&message.ip)?, port),
+            region: parse_name(message.region, "region")?,
+            zone: parse_name(message.zone, "zone")?,
             roles: RoleSet(message.roles),
         })
     }
@@ -142,22 +142,22 @@
         EnvelopeMessage {
             sender: Some(self.sender.to_wire()),
             generation: self.generation.0,
-            news: messages(&self.news),
-            packet: Some(packet_kind(&self.packet)),
+            news: encode_list(&self.news),
+            packet: Some(encode_packet(&self.packet)),
         }
     }
 
     fn from_wire(message: EnvelopeMessage) -> Result<Self, DecodeError> {
         Ok(Envelope {
-            sender: required_value(message.sender, "sender")?,
+            sender: decode_required(message.sender, "sender")?,
             generation: Generation(message.generation),
-            news: values(message.news)?,
-            packet: packet_value(required(message.packet, "packet")?)?,
+            news: decode_list(message.news)?,
+            packet: decode_packet(require_field(message.packet, "packet")?)?,
         })
     }
 }
 
-fn packet_kind(packet: &Packet) -> PacketKind {
+fn encode_packet(packet: &Packet) -> PacketKind {
     match packet {
         Packet::Probe { sequence } => PacketKind::Probe(*sequence),
         Packet::Answer { sequence } => PacketKind::Answer(*sequence),
@@ -167,13 +167,13 @@
         Packet::RelayedAnswer { sequence } => PacketKind::RelayedAnswer(*sequence),
         Packet::Exchange { digest } => PacketKind::Exchange(*digest),
         Packet::Members { members, wants_reply } => {
-            PacketKind::Members(MembersMessage { members: messages(members), wants_reply: *wants_reply })
+            PacketKind::Members(MembersMessage { members: encode_list(members), wants_reply: *wants_reply })
         }
         Packet::NewGeneration => PacketKind::NewGeneration(EmptyMessage {}),
     }
 }
 
-fn packet_value(kind: PacketKind) -> Result<Packet, DecodeError> {
+fn decode_packet(kind: PacketKind) -> Result<Packet, DecodeError> {
     Ok(match kind {
         PacketKind::Probe(sequence) => Packet::Probe { sequence },
         PacketKind::Answer(sequence) => Packet::Answer { sequence },
@@ -183,7 +183,7 @@
         PacketKind::RelayedAnswer(sequence) => Packet::RelayedAnswer { sequence },
         PacketKind::Exchange(digest) => Packet::Exchange { digest },
         PacketKind::Members(message) => {
-            Packet::Members { members: values(message.members)?, wants_reply: message.wants_reply }
+            Packet::Members { members: decode_list(message.members)?, wants_reply: message.wants_reply }
         }
         PacketKind::NewGeneration(_) => Packet::NewGeneration,
     })
--- a/crates/proto/src/replication.rs
+++ b/crates/proto/src/replication.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas.
+//! Messages of the replication protocol between replicas.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use sumacdrift_types::{Incarnation, NodeId};
 
 use crate::entry::EmptyMessage;
-use crate::wire::{DecodeError, Wire, messages, required, required_value, values};
+use crate::wire::{DecodeError, Wire, decode_list, decode_required, encode_list, require_field};
 
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct ReplicaMessage {
@@ -57,8 +57,8 @@
     fn to_wire(&self) -> ConfigurationMessage {
         let added = self.added.iter();
         ConfigurationMessage {
-            voters: messages(&self.voters),
-            learners: messages(&self.learners),
+            voters: encode_list(&self.voters),
+            learners: encode_list(&self.learners),
             added: added
                 .map(|(replica, index)| AddedMessage { replica: Some(replica.to_wire()), index: *index })
                 .collect(),
@@ -67,12 +67,12 @@
 
     fn from_wire(message: ConfigurationMessage) -> Result<Self, DecodeError> {
         let mut added = BTreeMap::new();
-        for one in message.added {
-            added.insert(required_value(one.replica, "replica")?, one.index);
+        for addition in message.added {
+            added.insert(decode_required(addition.replica, "replica")?, addition.index);
         }
         Ok(Configuration {
-            voters: values(message.voters)?.into_iter().collect(),
-            learners: values(message.learners)?.into_iter().collect(),
+            voters: decode_list(message.voters)?.into_iter().collect(),
+            learners: decode_list(message.learners)?.into_iter().collect(),
             added,
         })
     }
@@ -111,7 +111,7 @@
     }
 
     fn from_wire(message: LogEntryMessage) -> Result<Self, DecodeError> {
-        let payload = match required(message.payload, "payload")? {
+        let payload = match require_field(message.payload, "payload")? {
             PayloadKind::LeaderStarted(_) => Payload::LeaderStarted,
             PayloadKind::Command(bytes) => Payload::Command(bytes),
             PayloadKind::Configuration(message) => Payload::Configuration(Wire::from_wire(message)?),
@@ -250,7 +250,7 @@
                 membership: append.membership,
                 committed: append.committed,
                 sent_at_micros: append.sent_at_micros,
-                entries: messages(&append.entries),
+                entries: encode_list(&append.entries),
             }),
             Message::AppendReply(reply) => ReplicationKind::AppendReply(AppendReplyMessage {
                 term: reply.term,
@@ -259,9 +259,7 @@
                 membership: reply.membership,
                 sent_at_micros: reply.sent_at_micros,
             }),
-            Message::InstallSnapshot(snapshot) => {
-                ReplicationKind::InstallSnapshot(snapshot_message(snapshot))
-            }
+            Message::InstallSnapshot(snapshot) => ReplicationKind::InstallSnapshot(encode_snapshot(snapshot)),
             Message::TimeoutNow { term } => ReplicationKind::TimeoutNow(*term),
             Message::NotMember { term, last_index } => {
                 ReplicationKind::NotMember(NotMemberMessage { term: *term, last_index: *last_index })
@@ -271,7 +269,7 @@
     }
 
     fn from_wire(message: ReplicationMessage) -> Result<Self, DecodeError> {
-        Ok(match required(message.kind, "kind")? {
+        Ok(match require_field(message.kind, "kind")? {
             ReplicationKind::VoteRequest(request) => Message::VoteRequest(VoteRequest {
                 term: request.term,
                 last_index: request.last_index,
@@ -291,7 +289,7 @@
                 membership: append.membership,
                 committed: append.committed,
                 sent_at_micros: append.sent_at_micros,
-                entries: values(append.entries)?,
+                entries: decode_list(append.entries)?,
             }),
             ReplicationKind::AppendReply(reply) => Message::AppendReply(AppendReply {
                 term: reply.term,
@@ -304,7 +302,7 @@
                 term: snapshot.term,
                 index: snapshot.index,
                 index_term: snapshot.index_term,
-                configuration: required_value(snapshot.configuration, "configuration")?,
+                configuration: decode_required(snapshot.configuration, "configuration")?,
                 membership: snapshot.membership,
                 sent_at_micros: snapshot.sent_at_micros,
                 data: snapshot.data,
@@ -317,7 +315,7 @@
     }
 }
 
-fn snapshot_message(snapshot: &InstallSnapshot) -> InstallSnapshotMessage {
+fn encode_snapshot(snapshot: &InstallSnapshot) -> InstallSnapshotMessage {
     InstallSnapshotMessage {
         term: snapshot.term,
         index: snapshot.index,
--- a/crates/proto/src/reply.rs
+++ b/crates/proto/src/reply.rs
@@ -1,4 +1,4 @@
-//! Messages for the answers of a shard's leader.
+//! Messages for replies of a shard's leader.
 
 use sumacdrift_program::{
     Budget, BudgetSpent, Decision, DecisionKind, EndReason, ProgramReport, RecordedAnswer, Reply, RunTurn,
@@ -7,12 +7,12 @@
 
 use crate::basic::{
     CallMessage, LimitsMessage, ProblemMessage, ReservationMessage, ServiceResponseMessage, UsageMessage,
-    time_field, turn_field,
+    encode_timestamp, encode_turn,
 };
-use crate::entry::{AnswerMessage, EmptyMessage, chat_messages, chat_texts};
+use crate::entry::{AnswerMessage, EmptyMessage, decode_chat_messages, encode_chat_messages};
 use crate::wire::{
-    DecodeError, Wire, messages, name, names, optional_name, optional_value, required, required_value,
-    text_or_empty, texts, values,
+    DecodeError, Wire, decode_list, decode_optional, decode_required, encode_list, parse_name, parse_names,
+    parse_optional_name, require_field, to_string_or_empty, to_strings,
 };
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -89,7 +89,7 @@
     pub children: Vec<String>,
     #[prost(message, optional, tag = "5")]
     pub budget: Option<BudgetMessage>,
-    /// 0 not ended, else the reason.
+    /// 0 not ended, 1 ended by the caller, 2 lease expired, 3 parent ended.
     #[prost(uint32, tag = "6")]
     pub ended: u32,
     #[prost(message, optional, tag = "7")]
@@ -140,9 +140,9 @@
     fn to_wire(&self) -> RunTurnMessage {
         RunTurnMessage {
             turn: self.turn.0,
-            earlier_messages: chat_texts(&self.earlier_messages),
+            earlier_messages: encode_chat_messages(&self.earlier_messages),
             output_tokens: self.output_tokens,
-            last_engine: text_or_empty(&self.last_engine),
+            last_engine: to_string_or_empty(&self.last_engine),
             attained_tokens: self.attained_tokens,
         }
     }
@@ -150,9 +150,9 @@
     fn from_wire(message: RunTurnMessage) -> Result<Self, DecodeError> {
         Ok(RunTurn {
             turn: TurnNumber(message.turn),
-            earlier_messages: chat_messages(message.earlier_messages),
+            earlier_messages: decode_chat_messages(message.earlier_messages),
             output_tokens: message.output_tokens,
-            last_engine: optional_name(message.last_engine, "last_engine")?,
+            last_engine: parse_optional_name(message.last_engine, "last_engine")?,
             attained_tokens: message.attained_tokens,
         })
     }
@@ -172,8 +172,8 @@
     fn from_wire(message: RecordedAnswerMessage) -> Result<Self, DecodeError> {
         Ok(RecordedAnswer {
             turn: TurnNumber(message.turn),
-            answer: required_value(message.answer, "answer")?,
-            usage: required_value(message.usage, "usage")?,
+            answer: decode_required(message.answer, "answer")?,
+            usage: decode_required(message.usage, "usage")?,
         })
     }
 }
@@ -191,21 +191,21 @@
             }),
             sub_agents: self.spent.sub_agents,
             reserved: Some(self.reserved.to_wire()),
-            started_micros: time_field(self.started),
+            started_micros: encode_timestamp(self.started),
         }
     }
 
     fn from_wire(message: BudgetMessage) -> Result<Self, DecodeError> {
-        let spent = required(message.spent, "spent")?;
+        let spent = require_field(message.spent, "spent")?;
         Ok(Budget {
-            limits: required_value(message.limits, "limits")?,
+            limits: decode_required(message.limits, "limits")?,
             spent: BudgetSpent {
                 turns: message.turns,
                 input_tokens: spent.input_tokens,
                 output_tokens: spent.output_tokens,
                 sub_agents: message.sub_agents,
             },
-            reserved: required_value(message.reserved, "reserved")?,
+            reserved: decode_required(message.reserved, "reserved")?,
             started: Timestamp(message.started_micros),
         })
     }
@@ -216,9 +216,9 @@
 
     fn to_wire(&self) -> DecisionMessage {
         DecisionMessage {
-            at_micros: time_field(self.at),
+            at_micros: encode_timestamp(self.at),
             kind: self.kind.to_string(),
-            turn: turn_field(self.turn),
+            turn: encode_turn(self.turn),
             reason: self.reason.clone(),
         }
     }
@@ -233,7 +233,7 @@
     }
 }
 
-fn ended_field(ended: Option<EndReason>) -> u32 {
+fn encode_ended(ended: Option<EndReason>) -> u32 {
     match ended {
         None => 0,
         Some(EndReason::Caller) => 1,
@@ -242,7 +242,7 @@
     }
 }
 
-fn ended_value(field: u32) -> Result<Option<EndReason>, DecodeError> {
+fn decode_ended(field: u32) -> Result<Option<EndReason>, DecodeError> {
     match field {
         0 => Ok(None),
         1 => Ok(Some(EndReason::Caller)),
@@ -259,33 +259,33 @@
         ProgramReportMessage {
             program: self.program.to_string(),
             tenant: self.tenant.to_string(),
-            parent: text_or_empty(&self.parent),
-            children: texts(&self.children),
+            parent: to_string_or_empty(&self.parent),
+            children: to_strings(&self.children),
             budget: Some(self.budget.to_wire()),
-            ended: ended_field(self.ended),
+            ended: encode_ended(self.ended),
             in_flight: self.in_flight.map(|call| call.to_wire()),
             next_turn: self.next_turn.0,
             history_length: self.history_length as u64,
-            messages: chat_texts(&self.messages),
-            engines: texts(&self.engines),
-            decisions: messages(&self.decisions),
+            messages: encode_chat_messages(&self.messages),
+            engines: to_strings(&self.engines),
+            decisions: encode_list(&self.decisions),
         }
     }
 
     fn from_wire(message: ProgramReportMessage) -> Result<Self, DecodeError> {
         Ok(ProgramReport {
-            program: name(message.program, "program")?,
-            tenant: name(message.tenant, "tenant")?,
-            parent: optional_name(message.parent, "parent")?,
-            children: names(message.children, "children")?,
-            budget: required_value(message.budget, "budget")?,
-            ended: ended_value(message.ended)?,
-            in_flight: optional_value(message.in_flight)?,
+            program: parse_name(message.program, "program")?,
+            tenant: parse_name(message.tenant, "tenant")?,
+            parent: parse_optional_name(message.parent, "parent")?,
+            children: parse_names(message.children, "children")?,
+            budget: decode_required(message.budget, "budget")?,
+            ended: decode_ended(message.ended)?,
+            in_flight: decode_optional(message.in_flight)?,
             next_turn: TurnNumber(message.next_turn),
             history_length: message.history_length as usize,
-            messages: chat_messages(message.messages),
-            engines: names(message.engines, "engines")?,
-            decisions: values(message.decisions)?,
+            messages: decode_chat_messages(message.messages),
+            engines: parse_names(message.engines, "engines")?,
+            decisions: decode_list(message.decisions)?,
         })
     }
 }
@@ -303,7 +303,7 @@
             Reply::Granted(limits) => ReplyKind::Granted(limits.to_wire()),
             Reply::Report(report) => ReplyKind::Report(Box::new(report.to_wire())),
             Reply::Abandoned => ReplyKind::Abandoned(EmptyMessage {}),
-            Reply::Gone(programs) => ReplyKind::Gone(ProgramsMessage { programs: texts(programs) }),
+            Reply::Gone(programs) => ReplyKind::Gone(ProgramsMessage { programs: to_strings(programs) }),
             Reply::RunService => ReplyKind::RunService(EmptyMessage {}),
             Reply::ReplayService(response) => ReplyKind::ReplayService(response.to_wire()),
         };
@@ -311,7 +311,7 @@
     }
 
     fn from_wire(message: ReplyMessage) -> Result<Self, DecodeError> {
-        Ok(match required(message.kind, "kind")? {
+        Ok(match require_field(message.kind, "kind")? {
             ReplyKind::Run(message) => Reply::Run(Box::new(RunTurn::from_wire(message)?)),
             ReplyKind::Replay(message) => Reply::Replay(Wire::from_wire(message)?),
             ReplyKind::SendAllMessages(_) => Reply::SendAllMessages,
@@ -320,7 +320,7 @@
             ReplyKind::Granted(message) => Reply::Granted(Wire::from_wire(message)?),
             ReplyKind::Report(message) => Reply::Report(Box::new(ProgramReport::from_wire(*message)?)),
             ReplyKind::Abandoned(_) => Reply::Abandoned,
-            ReplyKind::Gone(message) => Reply::Gone(names(message.programs, "programs")?),
+            ReplyKind::Gone(message) => Reply::Gone(parse_names(message.programs, "programs")?),
             ReplyKind::RunService(_) => Reply::RunService,
             ReplyKind::ReplayService(message) => Reply::ReplayService(Wire::from_wire(message)?),
         })
--- a/crates/proto/src/request.rs
+++ b/crates/proto/src/request.rs
@@ -22,173 +22,157 @@
 use crate::replication::{ReplicaMessage, ReplicationMessage};
 use crate::reply::ReplyMessage;
 use crate::scheduling::{BidMessage, PrefixMessage, ReleaseMessage, WorkMessage};
-use crate::wire::{DecodeError, Wire, messages, name, required, required_value, values};
+use crate::wire::{DecodeError, Wire, decode_list, decode_required, encode_list, parse_name, require_field};
 
-/// A request that one node makes of another and that is answered once.
+/// A request to another node, which sends one response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
-    /// To the leader of a shard.
+    /// For the leader of a shard.
     Shard(Box<ShardRequest>),
-    /// To the owner of an engine.
+    /// For the node that owns the engine's queue.
     Engine(EngineRequest),
-    /// About the fleet itself.
+    /// Fleet bootstrap and configuration.
     Fleet(FleetRequest),
-    /// To a replica of the program ledger; the bytes are a message of the ledger crate.
+    /// For a replica of the program ledger; the bytes are a message of the ledger crate.
     Ledger(Bytes),
-    /// To a node that passes on what it learns from an outside store; the bytes are a message of the dissemination
-    /// crate.
+    /// Fetches changes from a node that disseminates the contents of an external store; the bytes are a message of
+    /// the dissemination crate.
     Follow(Bytes),
-    /// To a node that passes a question on to one that the asker does not reach.
+    /// Asks the receiver to forward a request to a node that the sender can't reach.
     Relay(Relay),
 }
 
-/// A command for a shard's leader.
+/// A command for the leader of a shard.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub struct ShardRequest {
-    /// The shard.
     pub shard: ShardId,
-    /// The command.
     pub command: Command,
 }
 
-/// A request to an engine's owner.
+/// A request to the node that owns an engine's queue.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub enum EngineRequest {
-    /// What would a call meet at these engines?
+    /// Requests cost estimates for running a call.
     Bid {
-        /// The engines, all of one owner.
+        /// Candidate engines, all owned by the receiver.
         engines: Vec<EngineName>,
-        /// Points of the call's prompt.
+        /// Prefixes of the call's prompt that an engine may have cached.
         prefixes: Vec<ContextPrefix>,
     },
-    /// Queue a call; answered when it may be sent.
-    Enqueue {
-        /// The engine.
-        engine: EngineName,
-        /// The call.
-        work: Box<Work>,
-    },
+    /// Enqueues a call; the response is sent once the call may be dispatched.
+    Enqueue { engine: EngineName, work: Box<Work> },
 }
 
-/// A request about the fleet itself.
+/// Fleet bootstrap and configuration requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetRequest {
-    /// Is there a fleet, and who are you?
+    /// Asks for the receiver's identity and the fleet that it belongs to, if any.
     Hello,
-    /// The fleet is founded with these replicas.
+    /// Bootstraps the fleet from this record.
     Found(Founding),
-    /// Send the configuration in force.
+    /// Fetches the active configuration bundle.
     FetchBundle,
 }
 
-/// The answer to a request.
+/// The response to a [`Request`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
-    /// From a shard's leader.
+    /// From the leader of a shard.
     Shard(Box<Reply>),
-    /// The node asked does not lead the shard.
+    /// The receiver does not lead the shard.
     NotLeader {
-        /// Who might.
+        /// The node that may lead it, if known.
         hint: Option<NodeId>,
     },
-    /// From an engine's owner.
+    /// From the node that owns the engine's queue.
     Engine(EngineReply),
-    /// About the fleet.
+    /// Response to a [`FleetRequest`].
     Fleet(FleetReply),
     /// From a replica of the program ledger; the bytes are a message of the ledger crate.
     Ledger(Bytes),
-    /// What was learned from an outside store; the bytes are a message of the dissemination crate.
+    /// Response to [`Request::Follow`]; the bytes are a message of the dissemination crate.
     Changes(Bytes),
-    /// The request could not be handled at all.
+    /// The receiver could not handle the request.
     Failed(Problem),
 }
 
-/// The answer of an engine's owner.
+/// The response to an [`EngineRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineReply {
-    /// Offers; engines that can't take the call are left out.
+    /// Estimates per engine; engines that can't take the call are omitted.
     Bids(Vec<Bid>),
-    /// The call may be sent to the engine now.
+    /// The enqueued call may be dispatched to the engine now.
     Granted,
 }
 
-/// The answer to a request about the fleet.
+/// The response to a [`FleetRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub enum FleetReply {
-    /// Who answers, and the fleet that it belongs to.
+    /// Identity of the sender.
     Hello {
-        /// The node's life.
+        /// The sender's node id and incarnation.
         replica: ReplicaId,
-        /// The founding, where there is a fleet.
+        /// `None` if the sender does not belong to a fleet yet.
         founding: Option<Founding>,
     },
-    /// The founding was taken over.
+    /// Acknowledges [`FleetRequest::Found`].
     Founded,
-    /// The configuration in force.
+    /// The active configuration bundle.
     Bundle {
-        /// Its generation.
         generation: Generation,
-        /// Its text.
+        /// Source text of the bundle; empty if the sender has none.
         text: String,
     },
 }
 
-/// A message that is not answered and may be lost.
+/// A message without a response; delivery is best effort.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(missing_docs)]
 pub enum OneWay {
-    /// Of the membership protocol.
     Membership(Box<Envelope>),
-    /// Between replicas of a shard.
+    /// Replication of a shard.
     Group(Box<GroupMessage>),
-    /// A granted call ended.
+    /// Reports to the engine's owner that a dispatched call ended.
     Release {
-        /// The engine.
         engine: EngineName,
-        /// How it ended.
         release: Release,
     },
-    /// A queued call is no longer wanted.
+    /// Removes a call from an engine's queue, or returns its grant if it has been granted already.
     Forget {
-        /// The engine.
         engine: EngineName,
-        /// The call.
         call: CallId,
     },
-    /// A program ended; its memory on the engine may go.
+    /// Frees a program's cached context on an engine after the program ended.
     FreeProgram {
-        /// The engine.
         engine: EngineName,
-        /// The program.
         program: ProgramId,
     },
-    /// A node leads a shard from now on.
+    /// Announces the leader of a shard.
     LeaderAnnouncement {
-        /// The shard.
         shard: ShardId,
-        /// The leader's term; a lower one is old news.
+        /// The leader's term; announcements with a lower term are stale.
         term: u64,
-        /// The leader.
         node: NodeId,
     },
-    /// A call must be stopped by the node that runs it.
+    /// Cancels a running call.
     CancelCall {
-        /// The life that runs it.
+        /// The node incarnation that runs the call.
         runner: Runner,
-        /// The call.
         call: CallId,
     },
 }
 
-/// A message between replicas of a shard.
+/// A replication message between replicas of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct GroupMessage {
-    /// The shard.
     pub shard: ShardId,
-    /// Who sent it.
     pub from: ReplicaId,
-    /// For which life it is; another one must drop it.
+    /// Recipient; a node with another incarnation must drop the message.
     pub to: ReplicaId,
-    /// The message.
     pub message: Message,
 }
 
@@ -391,8 +375,8 @@
             }),
             Request::Engine(EngineRequest::Bid { engines, prefixes }) => {
                 RequestKind::Bid(BidRequestMessage {
-                    engines: crate::wire::texts(engines),
-                    prefixes: messages(prefixes),
+                    engines: crate::wire::to_strings(engines),
+                    prefixes: encode_list(prefixes),
                 })
             }
             Request::Engine(EngineRequest::Enqueue { engine, work }) => {
@@ -412,18 +396,18 @@
     }
 
     fn from_wire(message: RequestMessage) -> Result<Self, DecodeError> {
-        Ok(match required(message.kind, "kind")? {
+        Ok(match require_field(message.kind, "kind")? {
             RequestKind::Shard(message) => Request::Shard(Box::new(ShardRequest {
                 shard: ShardId(message.shard),
-                command: required_value(message.command, "command")?,
+                command: decode_required(message.command, "command")?,
             })),
             RequestKind::Bid(message) => Request::Engine(EngineRequest::Bid {
-                engines: crate::wire::names(message.engines, "engines")?,
-                prefixes: values(message.prefixes)?,
+                engines: crate::wire::parse_names(message.engines, "engines")?,
+                prefixes: decode_list(message.prefixes)?,
             }),
             RequestKind::Enqueue(message) => Request::Engine(EngineRequest::Enqueue {
-                engine: name(message.engine, "engine")?,
-                work: Box::new(required_value(message.work, "work")?),
+                engine: parse_name(message.engine, "engine")?,
+                work: Box::new(decode_required(message.work, "work")?),
             }),
             RequestKind::Hello(_) => Request::Fleet(FleetRequest::Hello),
             RequestKind::Found(message) => Request::Fleet(FleetRequest::Found(Wire::from_wire(message)?)),
@@ -445,7 +429,7 @@
                 ResponseKind::NotLeader(HintMessage { node: hint.map(|node| node.0) })
             }
             Response::Engine(EngineReply::Bids(bids)) => {
-                ResponseKind::Bids(BidsMessage { bids: messages(bids) })
+                ResponseKind::Bids(BidsMessage { bids: encode_list(bids) })
             }
             Response::Engine(EngineReply::Granted) => ResponseKind::Granted(EmptyMessage {}),
             Response::Fleet(FleetReply::Hello { replica, founding }) => ResponseKind::Hello(HelloMessage {
@@ -464,14 +448,14 @@
     }
 
     fn from_wire(message: ResponseMessage) -> Result<Self, DecodeError> {
-        Ok(match required(message.kind, "kind")? {
+        Ok(match require_field(message.kind, "kind")? {
             ResponseKind::Shard(message) => Response::Shard(Box::new(Reply::from_wire(*message)?)),
             ResponseKind::NotLeader(message) => Response::NotLeader { hint: message.node.map(NodeId) },
-            ResponseKind::Bids(message) => Response::Engine(EngineReply::Bids(values(message.bids)?)),
+            ResponseKind::Bids(message) => Response::Engine(EngineReply::Bids(decode_list(message.bids)?)),
             ResponseKind::Granted(_) => Response::Engine(EngineReply::Granted),
             ResponseKind::Hello(message) => Response::Fleet(FleetReply::Hello {
-                replica: required_value(message.replica, "replica")?,
-                founding: crate::wire::optional_value(message.founding)?,
+                replica: decode_required(message.replica, "replica")?,
+                founding: crate::wire::decode_optional(message.founding)?,
             }),
             ResponseKind::Founded(_) => Response::Fleet(FleetReply::Founded),
             ResponseKind::Bundle(message) => Response::Fleet(FleetReply::Bundle {
@@ -525,25 +509,25 @@
     }
 
     fn from_wire(message: OneWayMessage) -> Result<Self, DecodeError> {
-        Ok(match required(message.kind, "kind")? {
+        Ok(match require_field(message.kind, "kind")? {
             OneWayKind::Membership(message) => OneWay::Membership(Box::new(Envelope::from_wire(message)?)),
             OneWayKind::Group(message) => OneWay::Group(Box::new(GroupMessage {
                 shard: ShardId(message.shard),
-                from: required_value(message.from, "from")?,
-                to: required_value(message.to, "to")?,
-                message: required_value(message.message, "message")?,
+                from: decode_required(message.from, "from")?,
+                to: decode_required(message.to, "to")?,
+                message: decode_required(message.message, "message")?,
             })),
             OneWayKind::Release(message) => OneWay::Release {
-                engine: name(message.engine, "engine")?,
-                release: required_value(message.release, "release")?,
+                engine: parse_name(message.engine, "engine")?,
+                release: decode_required(message.release, "release")?,
             },
             OneWayKind::Forget(message) => OneWay::Forget {
-                engine: name(message.engine, "engine")?,
-                call: required_value(message.call, "call")?,
+                engine: parse_name(message.engine, "engine")?,
+                call: decode_required(message.call, "call")?,
             },
             OneWayKind::FreeProgram(message) => OneWay::FreeProgram {
-                engine: name(message.engine, "engine")?,
-                program: name(message.program, "program")?,
+                engine: parse_name(message.engine, "engine")?,
+                program: parse_name(message.program, "program")?,
             },
             OneWayKind::LeaderAnnouncement(message) => OneWay::LeaderAnnouncement {
                 shard: ShardId(message.shard),
@@ -551,8 +535,8 @@
                 node: NodeId(message.node),
             },
             OneWayKind::CancelCall(message) => OneWay::CancelCall {
-                runner: required_value(message.runner, "runner")?,
-                call: required_value(message.call, "call")?,
+                runner: decode_required(message.runner, "runner")?,
+                call: decode_required(message.call, "call")?,
             },
         })
     }
--- a/crates/proto/src/request/founding.rs
+++ b/crates/proto/src/request/founding.rs
@@ -1,10 +1,10 @@
-//! The founding of a fleet on the wire.
+//! The bootstrap record of a fleet.
 
 use sumacdrift_replication::ReplicaId;
 use sumacdrift_types::ZoneName;
 
 use crate::replication::ReplicaMessage;
-use crate::wire::{DecodeError, Wire, messages, name, required_value, values};
+use crate::wire::{DecodeError, Wire, decode_list, decode_required, encode_list, parse_name};
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FoundingMessage {
@@ -24,23 +24,22 @@
     pub zone: String,
 }
 
-/// One life that founded the fleet.
+/// A node incarnation that took part in bootstrapping the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Founder {
-    /// The life.
     pub replica: ReplicaId,
-    /// Its zone, by which the first replicas are spread.
+    /// Initial replicas are spread over zones.
     pub zone: ZoneName,
 }
 
-/// The founding of a fleet.
+/// The bootstrap record of a fleet: its identity, shard count and initial nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Founding {
-    /// Number drawn at the founding, which tells one fleet from another.
+    /// Fleet id, drawn at random when the fleet is bootstrapped.
     pub fleet: u64,
-    /// Number of program shards.
     pub shards: u32,
-    /// The lives that founded it.
     pub founders: Vec<Founder>,
 }
 
@@ -52,8 +51,8 @@
     }
 
     fn from_wire(message: FounderMessage) -> Result<Self, DecodeError> {
-        let zone = name(message.zone, "zone")?;
-        Ok(Founder { replica: required_value(message.replica, "replica")?, zone })
+        let zone = parse_name(message.zone, "zone")?;
+        Ok(Founder { replica: decode_required(message.replica, "replica")?, zone })
     }
 }
 
@@ -61,11 +60,11 @@
     type Message = FoundingMessage;
 
     fn to_wire(&self) -> FoundingMessage {
-        FoundingMessage { fleet: self.fleet, shards: self.shards, founders: messages(&self.founders) }
+        FoundingMessage { fleet: self.fleet, shards: self.shards, founders: encode_list(&self.founders) }
     }
 
     fn from_wire(message: FoundingMessage) -> Result<Self, DecodeError> {
-        let founders = values(message.founders)?;
+        let founders = decode_list(message.founders)?;
         Ok(Founding { fleet: message.fleet, shards: message.shards, founders })
     }
 }
--- a/crates/proto/src/request/relay.rs
+++ b/crates/proto/src/request/relay.rs
@@ -1,4 +1,4 @@
-//! A question that is passed on to another node for one that does not reach it.
+//! Requests forwarded by an intermediate node when the sender can't reach the target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,23 +7,23 @@
 
 use crate::wire::{DecodeError, Wire};
 
-/// A question that is passed on; the bytes are a message of the crate that asks.
+/// A forwarded request; the bytes are a message of the crate that sends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RelayedQuestion {
-    /// To a replica of the program ledger.
+    /// For a replica of the program ledger.
     Ledger(Bytes),
-    /// To a feed, for what its follower does not know yet.
+    /// For a feed: fetches changes after the follower's position.
     Follow(Bytes),
 }
 
-/// A question to a member of one of the ledger's groups, by way of the node that gets this.
+/// Asks the receiver to forward a request to a member of one of the ledger's replica groups.
 #[derive(Debug, Clone, PartialEq, Eq)]
+#[allow(missing_docs)]
 pub struct Relay {
-    /// Who is to answer. The node in between asks it directly: there is no further hop.
+    /// The target. The receiver contacts it directly; there is no further hop.
     pub to: SocketAddr,
-    /// How long the answer is waited for.
+    /// Timeout for the target's response.
     pub within: Duration,
-    /// The question.
     pub question: RelayedQuestion,
 }
 
@@ -35,7 +35,7 @@
     pub within_millis: u64,
     #[prost(bytes = "bytes", tag = "3")]
     pub ledger: Bytes,
-    /// A question to a feed, in place of one to the ledger.
+    /// A request to a feed; if set, `ledger` is empty and ignored.
     #[prost(bytes = "bytes", optional, tag = "4")]
     pub follow: Option<Bytes>,
 }
--- a/crates/proto/src/scheduling.rs
+++ b/crates/proto/src/scheduling.rs
@@ -1,12 +1,14 @@
-//! Messages between a call's node and an engine's owner.
+//! Messages between the node that runs a call and the node that owns an engine's queue.
 
 use std::time::Duration;
 
 use sumacdrift_scheduling::{Bid, ContextPrefix, Estimate, FinishedWork, Release, Work};
 use sumacdrift_types::{PrefixDigest, Timestamp};
 
-use crate::basic::{CallMessage, UsageMessage, time_field};
-use crate::wire::{DecodeError, Wire, fixed, messages, name, optional_value, required_value, values};
+use crate::basic::{CallMessage, UsageMessage, encode_timestamp};
+use crate::wire::{
+    DecodeError, Wire, decode_list, decode_optional, decode_required, encode_list, parse_name, to_array,
+};
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PrefixMessage {
@@ -24,7 +26,7 @@
     }
 
     fn from_wire(message: PrefixMessage) -> Result<Self, DecodeError> {
-        let digest = PrefixDigest(fixed(&message.digest, "digest")?);
+        let digest = PrefixDigest(to_array(&message.digest, "digest")?);
         Ok(ContextPrefix { digest, tokens: message.tokens })
     }
 }
@@ -58,20 +60,20 @@
             program: self.program.to_string(),
             tenant: self.tenant.to_string(),
             rank: self.rank,
-            prefixes: messages(&self.prefixes),
+            prefixes: encode_list(&self.prefixes),
             max_output_tokens: self.max_output_tokens,
             attained_tokens: self.attained_tokens,
-            deadline_micros: self.deadline.map(time_field),
+            deadline_micros: self.deadline.map(encode_timestamp),
         }
     }
 
     fn from_wire(message: WorkMessage) -> Result<Self, DecodeError> {
         Ok(Work {
-            call: required_value(message.call, "call")?,
-            program: name(message.program, "program")?,
-            tenant: name(message.tenant, "tenant")?,
+            call: decode_required(message.call, "call")?,
+            program: parse_name(message.program, "program")?,
+            tenant: parse_name(message.tenant, "tenant")?,
             rank: message.rank,
-            prefixes: values(message.prefixes)?,
+            prefixes: decode_list(message.prefixes)?,
             max_output_tokens: message.max_output_tokens,
             attained_tokens: message.attained_tokens,
             deadline: message.deadline_micros.map(Timestamp),
@@ -114,7 +116,7 @@
 
     fn from_wire(message: BidMessage) -> Result<Self, DecodeError> {
         Ok(Bid {
-            engine: name(message.engine, "engine")?,
+            engine: parse_name(message.engine, "engine")?,
             estimate: Estimate {
                 queue_seconds: message.queue_seconds,
                 first_token_seconds: message.first_token_seconds,
@@ -163,10 +165,10 @@
 
     fn from_wire(message: FinishedMessage) -> Result<Self, DecodeError> {
         Ok(FinishedWork {
-            usage: required_value(message.usage, "usage")?,
+            usage: decode_required(message.usage, "usage")?,
             first_token: Duration::from_micros(message.first_token_micros),
             decoding: Duration::from_micros(message.decoding_micros),
-            end: optional_value(message.end)?,
+            end: decode_optional(message.end)?,
         })
     }
 }
@@ -184,8 +186,8 @@
 
     fn from_wire(message: ReleaseMessage) -> Result<Self, DecodeError> {
         Ok(Release {
-            call: required_value(message.call, "call")?,
-            finished: optional_value(message.finished)?,
+            call: decode_required(message.call, "call")?,
+            finished: decode_optional(message.finished)?,
             is_engine_fault: message.is_engine_fault,
         })
     }
--- a/crates/proto/src/wire.rs
+++ b/crates/proto/src/wire.rs
@@ -1,104 +1,94 @@
-//! Conversion between typed values and protocol buffer messages.
+//! Traits and helpers that convert typed values to protocol buffer messages and back.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// Bytes were not a message of the internal protocol, or held a value that its type does not allow.
+/// Why bytes could not be decoded. `Missing` and `Invalid` carry the field name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[allow(missing_docs)]
 pub enum DecodeError {
-    /// Not a protocol buffer message.
     #[error("not a protocol buffer message: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// A field that must be there is missing.
-    #[error("field {0} is missing")]
+    #[error("required field {0} is missing")]
     Missing(&'static str),
-    /// A field has a value outside its type.
-    #[error("field {0} has a value that is not allowed")]
+    #[error("field {0} has an invalid value")]
     Invalid(&'static str),
 }
 
-/// A typed value with its protocol buffer form.
+/// A type with a protocol buffer representation.
 pub trait Wire: Sized {
-    /// The protocol buffer message.
+    /// The `prost` message that represents the type.
     type Message: Message + Default;
 
-    /// The value as a message.
+    /// Converts to the `prost` message.
     fn to_wire(&self) -> Self::Message;
 
-    /// The value of a message.
+    /// Converts from the `prost` message; fails if a required field is missing or a value is out of range.
     fn from_wire(message: Self::Message) -> Result<Self, DecodeError>;
 
-    /// The value as bytes.
+    /// Serializes to protocol buffer bytes.
     fn encode(&self) -> Bytes {
         Bytes::from(self.to_wire().encode_to_vec())
     }
 
-    /// The value of bytes.
+    /// Deserializes from protocol buffer bytes.
     fn decode(bytes: Bytes) -> Result<Self, DecodeError> {
         Self::from_wire(Self::Message::decode(bytes)?)
     }
 }
 
-/// A field that must be there.
-pub(crate) fn required<T>(field: Option<T>, name: &'static str) -> Result<T, DecodeError> {
+pub(crate) fn require_field<T>(field: Option<T>, name: &'static str) -> Result<T, DecodeError> {
     field.ok_or(DecodeError::Missing(name))
 }
 
-/// A message field that must be there, as its value.
-pub(crate) fn required_value<T: Wire>(
+pub(crate) fn decode_required<T: Wire>(
     field: Option<T::Message>,
     name: &'static str,
 ) -> Result<T, DecodeError> {
-    T::from_wire(required(field, name)?)
+    T::from_wire(require_field(field, name)?)
 }
 
-/// A message field that may be missing, as its value.
-pub(crate) fn optional_value<T: Wire>(field: Option<T::Message>) -> Result<Option<T>, DecodeError> {
+pub(crate) fn decode_optional<T: Wire>(field: Option<T::Message>) -> Result<Option<T>, DecodeError> {
     field.map(T::from_wire).transpose()
 }
 
-/// A list of messages as values.
-pub(crate) fn values<T: Wire>(messages: Vec<T::Message>) -> Result<Vec<T>, DecodeError> {
+pub(crate) fn decode_list<T: Wire>(messages: Vec<T::Message>) -> Result<Vec<T>, DecodeError> {
     messages.into_iter().map(T::from_wire).collect()
 }
 
-/// A list of values as messages.
-pub(crate) fn messages<'a, T: Wire + 'a>(values: impl IntoIterator<Item = &'a T>) -> Vec<T::Message> {
+pub(crate) fn encode_list<'a, T: Wire + 'a>(values: impl IntoIterator<Item = &'a T>) -> Vec<T::Message> {
     values.into_iter().map(T::to_wire).collect()
 }
 
-/// A text field as a name.
-pub(crate) fn name<T: TryFrom<String>>(text: String, field: &'static str) -> Result<T, DecodeError> {
+pub(crate) fn parse_name<T: TryFrom<String>>(text: String, field: &'static str) -> Result<T, DecodeError> {
     T::try_from(text).map_err(|_| DecodeError::Invalid(field))
 }
 
-/// A text field that is empty where there is no name.
-pub(crate) fn optional_name<T: TryFrom<String>>(
+/// An empty string stands for `None`.
+pub(crate) fn parse_optional_name<T: TryFrom<String>>(
     text: String,
     field: &'static str,
 ) -> Result<Option<T>, DecodeError> {
-    if text.is_empty() { Ok(None) } else { name(text, field).map(Some) }
+    if text.is_empty() { Ok(None) } else { parse_name(text, field).map(Some) }
 }
 
-/// Text fields as names.
-pub(crate) fn names<T: TryFrom<String>>(
+pub(crate) fn parse_names<T: TryFrom<String>>(
     texts: Vec<String>,
     field: &'static str,
 ) -> Result<Vec<T>, DecodeError> {
-    texts.into_iter().map(|text| name(text, field)).collect()
+    texts.into_iter().map(|text| parse_name(text, field)).collect()
 }
 
-/// Names as text fields.
-pub(crate) fn texts<'a, T: ToString + 'a>(names: impl IntoIterator<Item = &'a T>) -> Vec<String> {
+pub(crate) fn to_strings<'a, T: ToString + 'a>(names: impl IntoIterator<Item = &'a T>) -> Vec<String> {
     names.into_iter().map(T::to_string).collect()
 }
 
-/// A name that may be missing as a text field.
-pub(crate) fn text_or_empty<T: ToString>(name: &Option<T>) -> String {
+/// `None` becomes an empty string.
+pub(crate) fn to_string_or_empty<T: ToString>(name: &Option<T>) -> String {
     name.as_ref().map(T::to_string).unwrap_or_default()
 }
 
-/// A bytes field of fixed length.
-pub(crate) fn fixed<const N: usize>(bytes: &[u8], field: &'static str) -> Result<[u8; N], DecodeError> {
+/// Fails if the length is not `N`.
+pub(crate) fn to_array<const N: usize>(bytes: &[u8], field: &'static str) -> Result<[u8; N], DecodeError> {
     bytes.try_into().map_err(|_| DecodeError::Invalid(field))
 }
--- a/crates/proto/tests/program_state.rs
+++ b/crates/proto/tests/program_state.rs
@@ -1,4 +1,4 @@
-//! The state machine of programs, driven directly.
+//! Tests of the program shard's state machine with a single replica, and of its snapshot encoding.
 
 use std::time::Duration;
 
@@ -13,43 +13,43 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-/// A group of one: what is proposed is committed at once.
-struct Single {
+/// A replica group of one member: every proposed entry commits immediately.
+struct SingleReplica {
     state: ShardState,
     leader: ShardLeader,
     now: Timestamp,
     effects: Vec<Effect>,
 }
 
-impl Single {
+impl SingleReplica {
     fn new() -> Self {
         let settings = LeaderSettings { idle_lease: Duration::from_secs(60), ..LeaderSettings::default() };
         let (state, leader) = (ShardState::default(), ShardLeader::new(settings));
         Self { state, leader, now: START, effects: Vec::new() }
     }
 
-    fn command(&mut self, command: Command) -> Vec<(CallId, Reply)> {
+    fn execute(&mut self, command: Command) -> Vec<(CallId, Reply)> {
         let step = self.leader.handle(&self.state, command, self.now);
-        self.perform(step);
-        self.replies()
+        self.apply_step(step);
+        self.take_replies()
     }
 
     fn tick(&mut self, after: Duration, is_alive: bool) -> Vec<(CallId, Reply)> {
         self.now = self.now + after;
         let step = self.leader.tick(&self.state, self.now, &|_| is_alive);
-        self.perform(step);
-        self.replies()
+        self.apply_step(step);
+        self.take_replies()
     }
 
-    fn perform(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         self.effects.extend(step.effects);
         for entry in step.entries {
-            let next = self.leader.apply(&mut self.state, &entry, self.now);
-            self.perform(next);
+            let next_step = self.leader.apply(&mut self.state, &entry, self.now);
+            self.apply_step(next_step);
         }
     }
 
-    fn replies(&mut self) -> Vec<(CallId, Reply)> {
+    fn take_replies(&mut self) -> Vec<(CallId, Reply)> {
         let effects = std::mem::take(&mut self.effects);
         let (replies, rest): (Vec<Effect>, Vec<Effect>) =
             effects.into_iter().partition(|effect| matches!(effect, Effect::Reply { .. }));
@@ -62,26 +62,26 @@
     }
 
     fn run_turn(&mut self, call: u128, turn: u32, text: &str) {
-        let replies = self.command(begin(call, turn, text, HistoryMode::Append));
+        let replies = self.execute(begin_turn(call, turn, text, HistoryMode::Append));
         assert!(matches!(replies[..], [(_, Reply::Run(_))]), "{replies:?}");
-        let replies = self.command(finish(call, text));
+        let replies = self.execute(finish_turn(call, text));
         assert!(matches!(replies[..], [(_, Reply::Done)]), "{replies:?}");
     }
 }
 
 fn program() -> ProgramId {
-    ProgramId::new("program").expect("a name")
+    ProgramId::new("program").expect("name should be valid")
 }
 
 fn tenant() -> TenantName {
-    TenantName::new("tenant").expect("a name")
+    TenantName::new("tenant").expect("name should be valid")
 }
 
-fn user(text: &str) -> ChatMessage {
+fn user_message(text: &str) -> ChatMessage {
     ChatMessage::from_canonical(format!("{{\"content\":\"{text}\",\"role\":\"user\"}}"))
 }
 
-fn begin(call: u128, turn: u32, text: &str, mode: HistoryMode) -> Command {
+fn begin_turn(call: u128, turn: u32, text: &str, mode: HistoryMode) -> Command {
     Command::BeginTurn(Box::new(BeginTurn {
         call: CallId(call),
         program: program(),
@@ -91,7 +91,7 @@
         key: None,
         mode,
         known_prefix: KnownPrefix::default(),
-        messages: vec![user(text)],
+        messages: vec![user_message(text)],
         wanted_output: 60,
         limits: BudgetLimits {
             turns: 10,
@@ -106,7 +106,7 @@
     }))
 }
 
-fn finish(call: u128, text: &str) -> Command {
+fn finish_turn(call: u128, text: &str) -> Command {
     Command::FinishTurn(Box::new(FinishTurn {
         program: program(),
         call: CallId(call),
@@ -115,13 +115,13 @@
             finish_reason: "stop".to_owned(),
         },
         usage: Usage { prompt_tokens: 10, cached_tokens: 0, output_tokens: 30 },
-        engine: EngineName::new("engine-0").expect("a name"),
+        engine: EngineName::new("engine-0").expect("name should be valid"),
         other_engines: Vec::new(),
         reason: String::new(),
     }))
 }
 
-fn refusal(replies: &[(CallId, Reply)]) -> ResultCode {
+fn refusal_code(replies: &[(CallId, Reply)]) -> ResultCode {
     match replies {
         [(_, Reply::Refused(problem))] => problem.code,
         other => panic!("expected one refusal, got {other:?}"),
@@ -129,71 +129,71 @@
 }
 
 #[test]
-fn a_later_turn_waits_for_its_predecessor() {
-    let mut single = Single::new();
-    assert!(single.command(begin(2, 1, "second", HistoryMode::Append)).is_empty());
+fn later_turn_waits_for_its_predecessor() {
+    let mut replica = SingleReplica::new();
+    assert!(replica.execute(begin_turn(2, 1, "second", HistoryMode::Append)).is_empty());
     assert!(matches!(
-        single.command(begin(1, 0, "first", HistoryMode::Append))[..],
+        replica.execute(begin_turn(1, 0, "first", HistoryMode::Append))[..],
         [(CallId(1), Reply::Run(_))]
     ));
-    let replies = single.command(finish(1, "first"));
+    let replies = replica.execute(finish_turn(1, "first"));
     let calls: Vec<CallId> = replies.iter().map(|(call, _)| *call).collect();
     assert_eq!(calls, [CallId(1), CallId(2)]);
     assert!(matches!(replies[1].1, Reply::Run(_)));
 }
 
 #[test]
-fn a_turn_whose_predecessor_never_comes_is_refused_in_time() {
-    let mut single = Single::new();
-    assert!(single.command(begin(2, 1, "second", HistoryMode::Append)).is_empty());
-    let replies = single.tick(Duration::from_secs(11), true);
-    assert_eq!(refusal(&replies), ResultCode::TurnGap);
+fn turn_without_predecessor_is_refused_at_wait_deadline() {
+    let mut replica = SingleReplica::new();
+    assert!(replica.execute(begin_turn(2, 1, "second", HistoryMode::Append)).is_empty());
+    let replies = replica.tick(Duration::from_secs(11), true);
+    assert_eq!(refusal_code(&replies), ResultCode::TurnGap);
 }
 
 #[test]
-fn a_repeated_turn_gets_its_answer_and_other_content_is_refused() {
-    let mut single = Single::new();
-    single.run_turn(1, 0, "first");
-    let replies = single.command(begin(2, 0, "first", HistoryMode::Append));
+fn repeated_turn_replays_answer_and_changed_content_is_refused() {
+    let mut replica = SingleReplica::new();
+    replica.run_turn(1, 0, "first");
+    let replies = replica.execute(begin_turn(2, 0, "first", HistoryMode::Append));
     assert!(matches!(&replies[..], [(_, Reply::Replay(answer))] if answer.turn == TurnNumber(0)));
-    let replies = single.command(begin(3, 0, "other", HistoryMode::Append));
-    assert_eq!(refusal(&replies), ResultCode::TurnContentDiffers);
-    let replies = single.command(begin(4, 1, "not the history", HistoryMode::Full));
-    assert_eq!(refusal(&replies), ResultCode::HistoryMismatch);
+    let replies = replica.execute(begin_turn(3, 0, "other", HistoryMode::Append));
+    assert_eq!(refusal_code(&replies), ResultCode::TurnContentDiffers);
+    let replies = replica.execute(begin_turn(4, 1, "not the history", HistoryMode::Full));
+    assert_eq!(refusal_code(&replies), ResultCode::HistoryMismatch);
 }
 
 #[test]
-fn output_is_capped_and_then_refused_by_the_budget() {
-    let mut single = Single::new();
-    single.run_turn(1, 0, "first");
-    single.run_turn(2, 1, "second");
-    let replies = single.command(begin(3, 2, "third", HistoryMode::Append));
+fn budget_caps_output_then_refuses_turns() {
+    let mut replica = SingleReplica::new();
+    replica.run_turn(1, 0, "first");
+    replica.run_turn(2, 1, "second");
+    let replies = replica.execute(begin_turn(3, 2, "third", HistoryMode::Append));
     assert!(matches!(&replies[..], [(_, Reply::Run(run))] if run.output_tokens == 40), "{replies:?}");
-    single.command(finish(3, "third"));
-    single.run_turn(4, 3, "fourth");
-    let replies = single.command(begin(5, 4, "fifth", HistoryMode::Append));
-    assert_eq!(refusal(&replies), ResultCode::BudgetExhausted);
+    replica.execute(finish_turn(3, "third"));
+    replica.run_turn(4, 3, "fourth");
+    let replies = replica.execute(begin_turn(5, 4, "fifth", HistoryMode::Append));
+    assert_eq!(refusal_code(&replies), ResultCode::BudgetExhausted);
 }
 
 #[test]
-fn a_call_whose_node_died_is_given_up_and_charged_in_full() {
-    let mut single = Single::new();
-    single.command(begin(1, 0, "first", HistoryMode::Append));
-    single.tick(Duration::from_millis(100), false);
-    single.tick(Duration::from_secs(3), false);
-    let record = single.state.program(&program()).expect("the program");
+fn call_on_dead_node_is_abandoned_and_charged_in_full() {
+    let mut replica = SingleReplica::new();
+    replica.execute(begin_turn(1, 0, "first", HistoryMode::Append));
+    replica.tick(Duration::from_millis(100), false);
+    replica.tick(Duration::from_secs(3), false);
+    let record = replica.state.program(&program()).expect("program should exist");
     assert!(record.in_flight.is_none());
     assert_eq!(record.budget.spent.output_tokens, 60);
-    // Its node, back from a pause, is told that the call was given up and not that it was recorded.
-    let replies = single.command(finish(1, "first"));
-    assert_eq!(refusal(&replies), ResultCode::NotCommitted);
+    // The paused node resumes and reports its answer: it must not be told that the turn was committed.
+    let replies = replica.execute(finish_turn(1, "first"));
+    assert_eq!(refusal_code(&replies), ResultCode::NotCommitted);
 }
 
 #[test]
-fn sub_agents_draw_on_their_parent_and_give_back() {
-    let mut single = Single::new();
-    single.run_turn(1, 0, "first");
-    let child = ProgramId::new("child").expect("a name");
+fn sub_agent_budget_is_taken_from_parent_and_unused_part_returned() {
+    let mut replica = SingleReplica::new();
+    replica.run_turn(1, 0, "first");
+    let child = ProgramId::new("child").expect("name should be valid");
     let grant = |call: u128, child: &ProgramId| {
         Command::GrantChild(GrantChild {
             call: CallId(call),
@@ -203,37 +203,38 @@
             share_percent: 50,
         })
     };
-    let replies = single.command(grant(2, &child));
+    let replies = replica.execute(grant(2, &child));
     let [(_, Reply::Granted(limits))] = replies[..] else { panic!("{replies:?}") };
     assert_eq!(limits.output_tokens, 35);
-    // The same sub-agent asked for again gets the same part, not another.
-    assert!(matches!(single.command(grant(3, &child))[..], [(_, Reply::Granted(again))] if again == limits));
+    // A repeated grant for the same sub-agent returns the same limits and reserves nothing more.
+    assert!(matches!(replica.execute(grant(3, &child))[..], [(_, Reply::Granted(again))] if again == limits));
     let unused = sumacdrift_program::Reservation { input_tokens: 0, output_tokens: 30 };
-    single.command(Command::ReturnChild { parent: program(), child: child.clone(), unused });
-    let spent = single.state.program(&program()).expect("the program").budget.spent;
+    replica.execute(Command::ReturnChild { parent: program(), child: child.clone(), unused });
+    let spent = replica.state.program(&program()).expect("program should exist").budget.spent;
     assert_eq!(spent.output_tokens, 30 + 5);
-    assert_eq!(refusal(&single.command(grant(4, &child))), ResultCode::ParentUnavailable);
+    assert_eq!(refusal_code(&replica.execute(grant(4, &child))), ResultCode::ParentUnavailable);
 }
 
 #[test]
-fn a_program_that_nobody_continues_ends_and_frees_its_engines() {
-    let mut single = Single::new();
-    single.run_turn(1, 0, "first");
-    single.tick(Duration::from_millis(1), true);
-    single.tick(Duration::from_secs(61), true);
-    assert!(single.state.program(&program()).expect("the program").ended.is_some());
-    let frees = |effect: &Effect| matches!(effect, Effect::FreeEngines { engines, .. } if engines.len() == 1);
-    assert!(single.effects.iter().any(frees), "{:?}", single.effects);
+fn idle_program_ends_and_frees_its_engines() {
+    let mut replica = SingleReplica::new();
+    replica.run_turn(1, 0, "first");
+    replica.tick(Duration::from_millis(1), true);
+    replica.tick(Duration::from_secs(61), true);
+    assert!(replica.state.program(&program()).expect("program should exist").ended.is_some());
+    let is_free_engines =
+        |effect: &Effect| matches!(effect, Effect::FreeEngines { engines, .. } if engines.len() == 1);
+    assert!(replica.effects.iter().any(is_free_engines), "{:?}", replica.effects);
 }
 
 #[test]
-fn a_snapshot_builds_the_same_state() {
-    let mut single = Single::new();
-    single.run_turn(1, 0, "first");
-    single.run_turn(2, 1, "second");
-    single.command(begin(3, 2, "under way", HistoryMode::Append));
-    let entries = single.state.to_entries();
-    assert_eq!(ShardState::from_entries(&entries), single.state);
+fn snapshot_restores_same_state() {
+    let mut replica = SingleReplica::new();
+    replica.run_turn(1, 0, "first");
+    replica.run_turn(2, 1, "second");
+    replica.execute(begin_turn(3, 2, "under way", HistoryMode::Append));
+    let entries = replica.state.to_entries();
+    assert_eq!(ShardState::from_entries(&entries), replica.state);
     let bytes = sumacdrift_proto::encode_entries(&entries);
-    assert_eq!(sumacdrift_proto::decode_entries(bytes).expect("entries"), entries);
+    assert_eq!(sumacdrift_proto::decode_entries(bytes).expect("entries should decode"), entries);
 }
--- a/crates/proto/tests/recorded_forms/main.rs
+++ b/crates/proto/tests/recorded_forms/main.rs
@@ -1,7 +1,7 @@
-//! Frames between the processes of a ledger's fleet are read and written as they were recorded.
+//! Wire compatibility of frames between processes of the ledger fleet, checked against recorded bytes.
 //!
-//! Frames of shards, of engines' owners and of membership belong to another program (`crates/node`) and are not recorded. A
-//! new form is added as `sumacdrift_recorded_forms` says; lines of `fixtures/frames.txt` are never changed.
+//! Frames for shards, engine owners and membership are used only by `crates/node` and are not recorded. See
+//! `sumacdrift_recorded_forms` for how to add a form; existing lines of `fixtures/frames.txt` must not change.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     ABANDON,
 ];
 
-/// The name of a frame's kind; `None` for those of the other program. A new kind does not compile until it is named here.
-fn kind_of(body: &FrameBody) -> Option<&'static str> {
+/// `None` for kinds used only by `crates/node`. The match is exhaustive, so a new kind must be added here to compile.
+fn kind_name(body: &FrameBody) -> Option<&'static str> {
     match body {
         FrameBody::Request(Request::Ledger(_)) => Some("Request.Ledger"),
         FrameBody::Request(Request::Follow(_)) => Some("Request.Follow"),
@@ -59,11 +59,11 @@
     }
 }
 
-fn relay(question: RelayedQuestion, within: Duration) -> FrameBody {
+fn relay_request(question: RelayedQuestion, within: Duration) -> FrameBody {
     FrameBody::Request(Request::Relay(Relay { to: ([10, 0, 0, 1], 7000).into(), within, question }))
 }
 
-fn full() -> Vec<Frame> {
+fn full_frames() -> Vec<Frame> {
     let content = Bytes::from_static(b"content");
     let within = Duration::from_millis(800);
     let problem = Problem {
@@ -75,8 +75,8 @@
     let bodies = [
         FrameBody::Request(Request::Ledger(content.clone())),
         FrameBody::Request(Request::Follow(content.clone())),
-        relay(RelayedQuestion::Ledger(content.clone()), within),
-        relay(RelayedQuestion::Follow(content.clone()), within),
+        relay_request(RelayedQuestion::Ledger(content.clone()), within),
+        relay_request(RelayedQuestion::Follow(content.clone()), within),
         FrameBody::Response(Response::Ledger(content.clone())),
         FrameBody::Response(Response::Changes(content)),
         FrameBody::Response(Response::Failed(problem)),
@@ -85,13 +85,13 @@
     bodies.map(|body| Frame { exchange: 300, body }).to_vec()
 }
 
-fn bare() -> Vec<Frame> {
+fn bare_frames() -> Vec<Frame> {
     let problem = Problem::not_run(ResultCode::NotFound, "");
     let bodies = [
         FrameBody::Request(Request::Ledger(Bytes::new())),
         FrameBody::Request(Request::Follow(Bytes::new())),
-        relay(RelayedQuestion::Ledger(Bytes::new()), Duration::ZERO),
-        relay(RelayedQuestion::Follow(Bytes::new()), Duration::ZERO),
+        relay_request(RelayedQuestion::Ledger(Bytes::new()), Duration::ZERO),
+        relay_request(RelayedQuestion::Follow(Bytes::new()), Duration::ZERO),
         FrameBody::Response(Response::Ledger(Bytes::new())),
         FrameBody::Response(Response::Changes(Bytes::new())),
         FrameBody::Response(Response::Failed(problem)),
@@ -100,31 +100,31 @@
     bodies.map(|body| Frame { exchange: 0, body }).to_vec()
 }
 
-fn name_of(frame: &Frame) -> &'static str {
-    kind_of(&frame.body).expect("a frame of the ledger's fleet")
+fn recorded_kind(frame: &Frame) -> &'static str {
+    kind_name(&frame.body).expect("frame kind should be recorded")
 }
 
-fn recorded() -> RecordedForms {
+fn load_recorded_forms() -> RecordedForms {
     RecordedForms::parse(include_str!("fixtures/frames.txt"))
 }
 
 #[test]
-fn recorded_forms_are_read_and_the_newest_of_them_written() {
-    let mut forms = recorded();
-    for frame in full() {
-        forms.writes(&codec(), name_of(&frame), "1", &frame);
+fn recorded_forms_decode_and_newest_forms_encode_identically() {
+    let mut forms = load_recorded_forms();
+    for frame in full_frames() {
+        forms.writes(&codec(), recorded_kind(&frame), "1", &frame);
     }
-    for frame in bare() {
-        forms.writes_bare(&codec(), name_of(&frame), &frame);
+    for frame in bare_frames() {
+        forms.writes_bare(&codec(), recorded_kind(&frame), &frame);
     }
     if let Err(failures) = forms.finish(&KINDS) {
         panic!("{failures}");
     }
 }
 
-/// A question that is passed on, as 2681526 knew it.
+/// The relay message as first released, before `follow` was added.
 #[derive(Clone, PartialEq, prost::Message)]
-struct FirstRelay {
+struct OriginalRelayMessage {
     #[prost(string, tag = "1")]
     to: String,
     #[prost(uint64, tag = "2")]
@@ -133,27 +133,30 @@
     ledger: Vec<u8>,
 }
 
-fn first_relay(question: RelayedQuestion) -> FirstRelay {
+fn decode_as_original_relay(question: RelayedQuestion) -> OriginalRelayMessage {
     let relay = Relay { to: ([10, 0, 0, 1], 7000).into(), within: Duration::from_millis(800), question };
-    FirstRelay::decode(relay.encode()).expect("a message")
+    OriginalRelayMessage::decode(relay.encode()).expect("relay message should decode")
 }
 
 #[test]
-fn the_first_build_with_relays_reads_questions_to_the_ledger() {
+fn original_relay_message_decodes_ledger_request() {
     let content = Bytes::from_static(b"content");
-    let read = first_relay(RelayedQuestion::Ledger(content.clone()));
-    assert_eq!((read.to.as_str(), read.within_millis, read.ledger), ("10.0.0.1:7000", 800, content.to_vec()));
+    let decoded = decode_as_original_relay(RelayedQuestion::Ledger(content.clone()));
+    assert_eq!(
+        (decoded.to.as_str(), decoded.within_millis, decoded.ledger),
+        ("10.0.0.1:7000", 800, content.to_vec())
+    );
 }
 
 #[test]
-fn the_first_build_with_relays_takes_a_question_to_a_feed_for_an_empty_one() {
-    let read = first_relay(RelayedQuestion::Follow(Bytes::from_static(b"content")));
-    assert_eq!(read.ledger, Vec::<u8>::new());
+fn original_relay_message_decodes_feed_request_as_empty_ledger_request() {
+    let decoded = decode_as_original_relay(RelayedQuestion::Follow(Bytes::from_static(b"content")));
+    assert_eq!(decoded.ledger, Vec::<u8>::new());
 }
 
-/// A code that a newer build gives is no reason to end a connection.
+/// A result code from a newer build must not fail decoding, which would close the connection.
 #[test]
-fn a_problem_with_a_code_that_is_not_known_is_read() {
+fn problem_with_unknown_code_decodes_as_internal() {
     #[derive(Clone, PartialEq, prost::Message)]
     struct NewerFrame {
         #[prost(uint64, tag = "1")]
@@ -175,7 +178,7 @@
     }
     let failed = Some(NewerProblem { code: 65_000, newer: "of a newer build".to_owned() });
     let frame = NewerFrame { exchange: 3, response: Some(NewerResponse { failed }) };
-    let read = Frame::decode(Bytes::from(frame.encode_to_vec())).expect("a frame");
+    let decoded = Frame::decode(Bytes::from(frame.encode_to_vec())).expect("frame should decode");
     let problem = Problem::not_run(ResultCode::Internal, "");
-    assert_eq!(read, Frame { exchange: 3, body: FrameBody::Response(Response::Failed(problem)) });
+    assert_eq!(decoded, Frame { exchange: 3, body: FrameBody::Response(Response::Failed(problem)) });
 }
