--- a/crates/recorded-forms/src/failures.rs
+++ b/crates/recorded-forms/src/failures.rs
@@ -1,69 +1,34 @@
-//! What is wrong with recorded forms.
+//! Failed checks of recorded forms.
 
 use std::fmt;
 
-/// One thing that is wrong.
+/// One failed check. Bytes are given in hex.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[allow(missing_docs)]
 pub enum Failure {
-    /// A line of the file is not a kind, a form and bytes, or names a form that another line names.
-    #[error("line {0} is no form, or one that is there already")]
-    Line(usize),
-    /// A form that today's build writes was not recorded.
-    #[error("not recorded; the line to append is:\n{kind} {form} {written}")]
-    Missing {
-        /// The kind.
-        kind: String,
-        /// The form.
-        form: String,
-        /// Its bytes in hex.
-        written: String,
-    },
-    /// A form that an earlier build wrote was not recorded.
+    /// The line with this number, counted from 1, is malformed or repeats an earlier form.
+    #[error("line {0} is not a valid form or repeats an earlier one")]
+    InvalidLine(usize),
+    /// A form written by the current build is not recorded.
+    #[error("not recorded; the line to append is:\n{kind} {form} {encoded}")]
+    NewFormNotRecorded { kind: String, form: String, encoded: String },
+    /// A form expected from an earlier build is not recorded.
     #[error("{kind} {form} is not recorded")]
-    Unknown {
-        /// The kind.
-        kind: String,
-        /// The form.
-        form: String,
-    },
-    /// Today's build reads something else, or nothing.
-    #[error("{kind} {form} is read as {read}, not as {expected}")]
-    Read {
-        /// The kind.
-        kind: String,
-        /// The form.
-        form: String,
-        /// What is read, or why nothing is.
-        read: String,
-        /// What should be read.
-        expected: String,
-    },
-    /// Today's build writes other bytes: builds that run beside it, or before it on the same disk, know the recorded ones.
-    #[error("{kind} {form} is written as {written}, not as {recorded}")]
-    Written {
-        /// The kind.
-        kind: String,
-        /// The form.
-        form: String,
-        /// What is written, in hex.
-        written: String,
-        /// What was recorded, in hex.
-        recorded: String,
-    },
-    /// No test reads a form that is recorded.
-    #[error("{kind} {form} is recorded, and not checked")]
-    NotChecked {
-        /// The kind.
-        kind: String,
-        /// The form.
-        form: String,
-    },
-    /// No form of a kind is known to be the one that today's build writes.
-    #[error("{0} has no newest form that is written")]
-    NoNewest(String),
+    EarlierFormNotRecorded { kind: String, form: String },
+    /// The recorded bytes decode to another value than expected, or fail to decode.
+    #[error("{kind} {form} decodes to {decoded}, expected {expected}")]
+    DecodedDifferently { kind: String, form: String, decoded: String, expected: String },
+    /// The value encodes to other bytes than recorded, so other builds may not be able to read it.
+    #[error("{kind} {form} encodes to {encoded}, but {recorded} is recorded")]
+    EncodedDifferently { kind: String, form: String, encoded: String, recorded: String },
+    #[error("{kind} {form} is recorded but no test checks it")]
+    NotChecked { kind: String, form: String },
+    /// No test encodes the kind's newest numbered form and its `bare` form.
+    #[error("{0}: no test encodes both the newest form and the bare form")]
+    NewestNotEncoded(String),
 }
 
-/// Everything that is wrong.
+/// All failed checks; displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Failures(pub Vec<Failure>);
 
--- a/crates/recorded-forms/src/hex.rs
+++ b/crates/recorded-forms/src/hex.rs
@@ -1,27 +1,26 @@
-//! Bytes as text.
+//! Hex encoding of bytes.
 
-/// Stands for no bytes at all.
-const NOTHING: &str = "-";
-const DIGITS_A_BYTE: usize = 2;
+const EMPTY: &str = "-";
+const DIGITS_PER_BYTE: usize = 2;
 
-pub(crate) fn to_text(bytes: &[u8]) -> String {
+pub(crate) fn encode(bytes: &[u8]) -> String {
     if bytes.is_empty() {
-        return NOTHING.to_owned();
+        return EMPTY.to_owned();
     }
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of a text; `None` where it is not hex.
-pub(crate) fn from_text(text: &str) -> Option<Vec<u8>> {
-    if text == NOTHING {
+/// `None` if the text is not valid hex.
+pub(crate) fn decode(text: &str) -> Option<Vec<u8>> {
+    if text == EMPTY {
         return Some(Vec::new());
     }
-    let digits = text.as_bytes().chunks(DIGITS_A_BYTE);
-    digits.map(byte_of).collect()
+    let digits = text.as_bytes().chunks(DIGITS_PER_BYTE);
+    digits.map(parse_byte).collect()
 }
 
-fn byte_of(digits: &[u8]) -> Option<u8> {
+fn parse_byte(digits: &[u8]) -> Option<u8> {
     let [high, low] = digits else { return None };
-    let digit = |digit: &u8| char::from(*digit).to_digit(16);
-    u8::try_from(digit(high)? * 16 + digit(low)?).ok()
+    let digit_value = |digit: &u8| char::from(*digit).to_digit(16);
+    u8::try_from(digit_value(high)? * 16 + digit_value(low)?).ok()
 }
--- a/crates/recorded-forms/src/kinds.rs
+++ b/crates/recorded-forms/src/kinds.rs
@@ -1,15 +1,15 @@
-//! The names of an enumeration's kinds.
+//! Names of the variants of an enum, for use as kinds.
 
-/// Defines a list of the names of all kinds of an enumeration whose kinds carry a value each, and a function that names one.
-/// A kind that is not listed does not compile.
+/// Defines a constant with the names of all variants (`Enum.Variant`) of an enum of tuple variants, and a function that
+/// returns the name of a value's variant. Compilation fails if a variant is not listed.
 #[macro_export]
 macro_rules! kinds {
-    ($list:ident, $name_of:ident, $enumeration:ident { $($kind:ident),+ $(,)? }) => {
-        const $list: &[&str] = &[$(concat!(stringify!($enumeration), ".", stringify!($kind))),+];
+    ($names:ident, $name_of:ident, $enumeration:ident { $($variant:ident),+ $(,)? }) => {
+        const $names: &[&str] = &[$(concat!(stringify!($enumeration), ".", stringify!($variant))),+];
 
-        fn $name_of(kind: &$enumeration) -> &'static str {
-            match kind {
-                $($enumeration::$kind(..) => concat!(stringify!($enumeration), ".", stringify!($kind)),)+
+        fn $name_of(value: &$enumeration) -> &'static str {
+            match value {
+                $($enumeration::$variant(..) => concat!(stringify!($enumeration), ".", stringify!($variant)),)+
             }
         }
     };
--- a/crates/recorded-forms/src/lib.rs
+++ b/crates/recorded-forms/src/lib.rs
@@ -1,12 +1,13 @@
-//! Bytes as builds wrote them, for tests that today's build still reads them and still writes the newest of them.
+//! Compatibility tests for encoded values: bytes recorded from earlier builds must still decode, and the newest form of
+//! each kind must still be encoded byte for byte.
 //!
-//! A crate whose messages or files two builds share records them in a text file beside its tests: one line for each form,
-//! with the kind's name, the form's number and the bytes in hex (`-` where there are none). A form is never changed or
-//! taken away, as builds that write it may still run.
+//! A crate whose messages or files are exchanged between builds records them in a text file next to its tests. Each line
+//! holds one form: the name of the kind, the number of the form and the bytes in hex (`-` if there are none). Lines are
+//! never changed or removed, since builds that write these forms may still run.
 //!
-//! To give a kind a new form: extend the message by an optional field, set it in the test's fullest value, give that value
-//! the next number, and keep the value of the form before as what is read from it. The test then fails and prints the line
-//! to append. A form named `bare` has no optional field set; it stays as it is.
+//! To add a form: add an optional field to the message, set it in the test's fullest value, check that value under the
+//! next number, and keep the previous value as the expected result of decoding the previous form. The test then fails
+//! and prints the line to append. The form named `bare` has no optional field set and never changes.
 
 mod failures;
 mod forms;
--- a/crates/recorded-forms/tests/recorded_forms.rs
+++ b/crates/recorded-forms/tests/recorded_forms.rs
@@ -1,4 +1,4 @@
-//! The checks of recorded forms notice what they are there for.
+//! Each check of recorded forms reports the failure that it guards against.
 
 use sumacdrift_recorded_forms::{Codec, Failure, Failures, RecordedForms};
 
@@ -14,59 +14,70 @@
     forms.finish(&[KIND]).err().unwrap_or(Failures(Vec::new())).0
 }
 
-fn check_both(forms: &mut RecordedForms) {
+fn check_bare_and_first(forms: &mut RecordedForms) {
     forms.writes_bare(&codec(), KIND, &0);
     forms.writes(&codec(), KIND, "1", &5);
 }
 
 #[test]
-fn a_form_that_is_read_and_written_passes() {
-    assert_eq!(failures_of("# a line for readers\nnumber bare -\nnumber 1 0805\n", check_both), []);
+fn form_that_round_trips_passes() {
+    assert_eq!(failures_of("# a line for readers\nnumber bare -\nnumber 1 0805\n", check_bare_and_first), []);
 }
 
 #[test]
-fn a_form_that_was_not_recorded_is_printed() {
-    let failures = failures_of("number bare -\n", check_both);
-    let missing =
-        Failure::Missing { kind: KIND.to_owned(), form: "1".to_owned(), written: "0805".to_owned() };
-    assert_eq!(failures, [missing, Failure::NoNewest(KIND.to_owned())]);
+fn unrecorded_form_fails_with_bytes_to_record() {
+    let failures = failures_of("number bare -\n", check_bare_and_first);
+    let not_recorded = Failure::NewFormNotRecorded {
+        kind: KIND.to_owned(),
+        form: "1".to_owned(),
+        encoded: "0805".to_owned(),
+    };
+    assert_eq!(failures, [not_recorded, Failure::NewestNotEncoded(KIND.to_owned())]);
 }
 
 #[test]
-fn a_value_that_is_written_or_read_otherwise_fails() {
-    let failures = failures_of("number bare -\nnumber 1 0806\n", check_both);
-    assert!(matches!(failures.as_slice(), [Failure::Written { .. }, Failure::Read { .. }]), "{failures:?}");
+fn value_that_differs_from_recorded_form_fails() {
+    let failures = failures_of("number bare -\nnumber 1 0806\n", check_bare_and_first);
+    assert!(
+        matches!(
+            failures.as_slice(),
+            [Failure::EncodedDifferently { .. }, Failure::DecodedDifferently { .. }]
+        ),
+        "{failures:?}"
+    );
 }
 
 #[test]
-fn a_newer_form_that_only_is_read_fails() {
+fn newest_form_that_is_only_decoded_fails() {
     let failures = failures_of("number bare -\nnumber 1 0805\nnumber 2 0806\n", |forms| {
-        check_both(forms);
+        check_bare_and_first(forms);
         forms.reads(&codec(), KIND, "2", &6);
     });
-    assert_eq!(failures, [Failure::NoNewest(KIND.to_owned())]);
+    assert_eq!(failures, [Failure::NewestNotEncoded(KIND.to_owned())]);
 }
 
 #[test]
-fn a_form_that_no_test_reads_fails() {
-    let failures = failures_of("number bare -\nnumber 1 0805\nother 1 08\n", check_both);
+fn unchecked_form_fails() {
+    let failures = failures_of("number bare -\nnumber 1 0805\nother 1 08\n", check_bare_and_first);
     assert_eq!(failures, [Failure::NotChecked { kind: "other".to_owned(), form: "1".to_owned() }]);
 }
 
 #[test]
-fn a_line_that_is_no_form_or_there_twice_fails() {
-    let failures =
-        failures_of("number bare -\nnumber 1 0805\nnumber 1 0805\nnumber 2 08zz\nnumber\n", check_both);
-    assert_eq!(failures, [Failure::Line(3), Failure::Line(4), Failure::Line(5)]);
+fn invalid_and_repeated_lines_fail() {
+    let failures = failures_of(
+        "number bare -\nnumber 1 0805\nnumber 1 0805\nnumber 2 08zz\nnumber\n",
+        check_bare_and_first,
+    );
+    assert_eq!(failures, [Failure::InvalidLine(3), Failure::InvalidLine(4), Failure::InvalidLine(5)]);
 }
 
 #[test]
-fn a_withdrawn_form_that_is_read_fails() {
+fn withdrawn_form_that_decodes_fails() {
     let text = "number bare -\nnumber 1 0805\nold 1 0807\nold 2 0a00\n";
     let failures = failures_of(text, |forms| {
-        check_both(forms);
+        check_bare_and_first(forms);
         forms.refuses(&codec(), "old", "1");
         forms.refuses(&codec(), "old", "2");
     });
-    assert!(matches!(failures.as_slice(), [Failure::Read { .. }]), "{failures:?}");
+    assert!(matches!(failures.as_slice(), [Failure::DecodedDifferently { .. }]), "{failures:?}");
 }
