--- a/test.sh
+++ b/test.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Format, lint and tests: the one command that must pass before a change lands.
+# Checks formatting, lints and tests; must pass before a change is merged.
 set -euo pipefail
 cd "$(dirname "$0")"
 jobs="${CARGO_BUILD_JOBS:-8}"
 cargo fmt --all --check
-# The platform stays behind its adapter.
+# Names of the platform's wire protocol must not be used outside its adapter.
 .ci/wire-names
 cargo clippy --workspace --all-targets --release --jobs "$jobs" -- -D warnings
-# Tests that are known to fail for a real fault: printed, and passed over by their names.
+# Tests that fail because of a known, unfixed fault are printed and skipped by name.
 known_red=()
 if [ -s KNOWN-RED.txt ]; then
   echo "known red, not run:"
@@ -19,11 +19,12 @@
   done < KNOWN-RED.txt
 fi
 cargo test --workspace --release --jobs "$jobs" -- ${known_red[@]+"${known_red[@]}"}
-# Each rule of the decision code broken once; a build of its own, so that no other program has the switch.
+# Mutation tests: each breaks one rule of the decision code. Built separately so that no other binary contains the
+# mutation switches.
 cargo test --release --jobs "$jobs" -p sumacdrift-simulation --features mutants --test mutants
 cargo test --release --jobs "$jobs" -p sumacdrift-ledger --features mutants --test mutants
 cargo test --release --jobs "$jobs" -p sumacdrift-access --features mutants --test mutants
 cargo test --release --jobs "$jobs" -p sumacdrift-routing --features mutants --test mutants
-# The real programs under faults drawn from a seed, about a minute.
+# Soak test of the release binaries under fault injection with a fixed seed; takes about a minute.
 cargo build --release --jobs "$jobs" -p sumacdrift-platform-adapter -p sumacdrift-platform-soak
 target/release/soak --edges 2 --storages 3 --faults-for 12 --first-seed 1 --seeds 1
