--- a/crates/bench/src/feed_answers.rs
+++ b/crates/bench/src/feed_answers.rs
@@ -30,7 +30,7 @@
     for item in 0..items {
         feed.put(entry(item, 1));
     }
-    let request = FollowRequest { life: 1, after: feed.position(), ..FollowRequest::default() };
+    let request = FollowRequest { incarnation: 1, after: feed.position(), ..FollowRequest::default() };
     feed.put(entry(items / 2, 2));
     let begun = Instant::now();
     let told: usize = (0..ANSWERS).map(|_| feed.changes(&request, now).changes.len()).sum();
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -43,7 +43,7 @@
     StandIn(#[from] std::io::Error),
     /// Settings made here have mistakes.
     #[error("settings made by the bench have mistakes: {0}")]
-    Settings(#[from] sumacdrift_config::Mistakes),
+    Settings(#[from] sumacdrift_config::ConfigErrors),
     /// A name made here is not valid.
     #[error("a name made by the bench is not valid: {0}")]
     Name(#[from] InvalidName),
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -118,7 +118,7 @@
     let own = replica(1);
     let configuration = Configuration::of_voters([own]);
     let mut now = Timestamp(1_000_000);
-    let mut shard = ProgramShard::found(ShardId(0), own, configuration, ShardSettings::default(), 1, now);
+    let mut shard = ProgramShard::bootstrap(ShardId(0), own, configuration, ShardSettings::default(), 1, now);
     for _ in 0..100 {
         now = now + Duration::from_millis(50);
         shard.tick(now, &|_| true);
@@ -164,7 +164,7 @@
             mode: HistoryMode::Append,
             known_prefix: KnownPrefix::default(),
             messages: vec![ChatMessage::from_canonical(text)],
-            wanted_output: 256,
+            max_output_tokens: 256,
             limits: BudgetLimits {
                 turns: u32::MAX,
                 input_tokens: u64::MAX / 2,
@@ -173,8 +173,8 @@
                 sub_agents: 0,
             },
             runner: Runner { node: NodeId(1), incarnation: Incarnation(1) },
-            wait_until: now,
-            run_limit: Duration::from_secs(60),
+            wait_deadline: now,
+            run_timeout: Duration::from_secs(60),
         };
         let finish = FinishTurn {
             program: program.clone(),
--- a/crates/config/src/bundle.rs
+++ b/crates/config/src/bundle.rs
@@ -10,7 +10,7 @@
     EngineName, Generation, ModelName, PoolName, PriorityName, ServiceName, TenantName, ZoneName,
 };
 
-use crate::document::{ErrorCollector, Mistakes};
+use crate::document::{ConfigErrors, ErrorCollector};
 use crate::{ApiKeyHash, bundle_reader};
 
 /// One generation of the fleet's configuration.
@@ -55,7 +55,7 @@
     pub address: SocketAddr,
     pub zone: ZoneName,
     /// Whether it is draining: it receives no new calls.
-    pub is_leaving: bool,
+    pub is_draining: bool,
 }
 
 /// Placement weights of a pool.
@@ -80,7 +80,7 @@
     pub address: SocketAddr,
     pub zone: ZoneName,
     /// Whether it is draining: it receives no new calls.
-    pub is_leaving: bool,
+    pub is_draining: bool,
 }
 
 /// Whether calls with a given method and path may be retried.
@@ -133,7 +133,7 @@
 
 impl Bundle {
     /// Parses and validates a bundle; `file` is its name in error messages.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, ConfigErrors> {
         ErrorCollector::new(file, text).read(|root| bundle_reader::read(root, text))
     }
 
--- a/crates/config/src/bundle_reader.rs
+++ b/crates/config/src/bundle_reader.rs
@@ -95,8 +95,8 @@
     let name = table.name("name");
     let address = table.address("address");
     let zone = table.name("zone");
-    let is_leaving = table.bool_or("leaving", false);
-    Some(Engine { name: name?, address: address?, zone: zone?, is_leaving })
+    let is_draining = table.bool_or("leaving", false);
+    Some(Engine { name: name?, address: address?, zone: zone?, is_draining })
 }
 
 fn read_queue(table: &mut Table<'_>) -> QueueSettings {
@@ -151,8 +151,8 @@
 fn read_back_end(table: &mut Table<'_>) -> Option<ServiceBackEnd> {
     let address = table.address("address");
     let zone = table.name("zone");
-    let is_leaving = table.bool_or("leaving", false);
-    Some(ServiceBackEnd { address: address?, zone: zone?, is_leaving })
+    let is_draining = table.bool_or("leaving", false);
+    Some(ServiceBackEnd { address: address?, zone: zone?, is_draining })
 }
 
 fn read_route(table: &mut Table<'_>) -> Option<ServiceRoute> {
--- a/crates/config/src/in_force.rs
+++ b/crates/config/src/current_configuration.rs
@@ -20,17 +20,17 @@
 /// Only a higher generation replaces the current one, so that a delayed peer or a stale read can't revert an accepted
 /// configuration.
 #[derive(Debug, Clone)]
-pub struct InForce<T> {
+pub struct CurrentConfiguration<T> {
     current: Option<T>,
 }
 
-impl<T> Default for InForce<T> {
+impl<T> Default for CurrentConfiguration<T> {
     fn default() -> Self {
         Self { current: None }
     }
 }
 
-impl<T: Versioned> InForce<T> {
+impl<T: Versioned> CurrentConfiguration<T> {
     /// The configuration in force; `None` until one was offered.
     pub fn current(&self) -> Option<&T> {
         self.current.as_ref()
@@ -42,7 +42,7 @@
     }
 
     /// Replaces the current configuration if the offered one is newer. Returns whether it was.
-    pub fn offer(&mut self, offered: T) -> bool {
+    pub fn replace_if_newer(&mut self, offered: T) -> bool {
         if offered.generation() <= self.generation() && !is_broken(Rule::GenerationsOnlyRise) {
             return false;
         }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -33,7 +33,7 @@
 /// All errors of a configuration file, by line.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(ConfigError::to_string).collect::<Vec<_>>().join("\n"))]
-pub struct Mistakes(pub Vec<ConfigError>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
 /// Collects the errors of one file.
 pub(crate) struct ErrorCollector<'a> {
@@ -56,17 +56,17 @@
     }
 
     /// Returns the value, or the errors if there are any.
-    pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, Mistakes> {
+    pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, ConfigErrors> {
         let mut errors = self.errors.into_inner();
         errors.sort_by_key(|error| error.line);
         match value {
             Some(value) if errors.is_empty() => Ok(value),
-            _ => Err(Mistakes(errors)),
+            _ => Err(ConfigErrors(errors)),
         }
     }
 
     /// Parses the text and passes its root table to `read`.
-    pub(crate) fn read<T>(self, read: impl FnOnce(&mut Table<'_>) -> T) -> Result<T, Mistakes> {
+    pub(crate) fn read<T>(self, read: impl FnOnce(&mut Table<'_>) -> T) -> Result<T, ConfigErrors> {
         match DeTable::parse(self.text) {
             Err(error) => {
                 self.add(error.span().unwrap_or(0..0), "(syntax)", error.message().to_owned());
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,8 +7,8 @@
 mod api_key;
 mod bundle;
 mod bundle_reader;
+mod current_configuration;
 mod document;
-mod in_force;
 mod settings;
 
 pub use api_key::ApiKeyHash;
@@ -16,8 +16,8 @@
     Bundle, Engine, Pool, PoolLookup, Priority, RetrySettings, Service, ServiceBackEnd, ServiceRoute, Tenant,
     Weights,
 };
-pub use document::{ConfigError, Mistakes};
-pub use in_force::{InForce, Versioned};
+pub use current_configuration::{CurrentConfiguration, Versioned};
+pub use document::{ConfigError, ConfigErrors};
 pub use settings::{
     FleetSettings, LimitSettings, ListenSettings, LogLevel, PlatformSettings, Role, Settings,
 };
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -7,7 +7,7 @@
 
 use sumacdrift_types::{NodeId, RegionName, ZoneName};
 
-use crate::document::{ErrorCollector, Mistakes, Table};
+use crate::document::{ConfigErrors, ErrorCollector, Table};
 
 /// A function that a node performs in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -135,10 +135,10 @@
 
 impl Settings {
     /// Parses and validates a settings file; `file` is its name in error messages.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, ConfigErrors> {
         let settings = ErrorCollector::new(file, text).read(read)?;
         // Without errors, all required values are present.
-        settings.ok_or_else(|| Mistakes(Vec::new()))
+        settings.ok_or_else(|| ConfigErrors(Vec::new()))
     }
 
     /// Whether the node performs a role.
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/call_trace.rs
@@ -29,7 +29,7 @@
 
 /// The log lines that concern one call or program.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Story {
+pub struct CallTrace {
     /// Ids of the calls.
     pub calls: BTreeSet<String>,
     /// Lines about the calls, in order of time.
@@ -41,7 +41,7 @@
 }
 
 /// Selects the lines about an id, which may be a call's or a program's.
-pub fn story_of(id: &str, lines: &[LogLine]) -> Story {
+pub fn collect_trace(id: &str, lines: &[LogLine]) -> CallTrace {
     let is_about = |line: &&LogLine| line.text("call") == id || line.text("program") == id;
     let own: Vec<LogLine> = lines.iter().filter(is_about).cloned().collect();
     let calls: BTreeSet<String> =
@@ -58,7 +58,7 @@
         .last()
         .map(|end| nearby_state_changes(end, &lines_of_calls, lines))
         .unwrap_or_default();
-    Story { calls, lines: lines_of_calls, earlier, nearby }
+    CallTrace { calls, lines: lines_of_calls, earlier, nearby }
 }
 
 /// State changes shortly before a call ended, at its own node, at its engines and at storage nodes.
--- a/crates/ctl/src/cause.rs
+++ b/crates/ctl/src/cause.rs
@@ -2,13 +2,13 @@
 
 use sumacdrift_types::ResultCode;
 
+use crate::call_trace::CallTrace;
 use crate::log::LogLine;
-use crate::story::Story;
 
 /// Explains the end of a call, or of a program's last call.
-pub fn cause_of(story: &Story) -> String {
-    let Some(end) = story.lines.iter().rev().find(|line| is_end_event(line)) else {
-        return match story.lines.is_empty() {
+pub fn explain_end(trace: &CallTrace) -> String {
+    let Some(end) = trace.lines.iter().rev().find(|line| is_end_event(line)) else {
+        return match trace.lines.is_empty() {
             true => "no line names it: it reached none of the nodes whose logs were given, or its lines \
                      were dropped (log_lines_dropped)"
                 .to_owned(),
@@ -20,8 +20,8 @@
     };
     match end.event.as_str() {
         "served" => explain_served(end),
-        "turn_refused" => explain_turn_refused(end, story),
-        "given_up" => explain_given_up(end, story),
+        "turn_refused" => explain_turn_refused(end, trace),
+        "given_up" => explain_given_up(end, trace),
         "bad_call" => format!("the request is malformed: {}", end.text("detail")),
         "access_refused" => explain_access_refused(end),
         "quota_refused" => explain_quota_refused(end),
@@ -74,9 +74,9 @@
     )
 }
 
-fn explain_turn_refused(end: &LogLine, story: &Story) -> String {
+fn explain_turn_refused(end: &LogLine, trace: &CallTrace) -> String {
     let reason = end.text("reason");
-    let refusal = story.lines.iter().rev().find(|line| line.event == "ledger_refusal");
+    let refusal = trace.lines.iter().rev().find(|line| line.event == "ledger_refusal");
     if let Some(refusal) = refusal.filter(|line| line.text("why") == "budget") {
         let number = |name: &str| refusal.number(name).unwrap_or(0);
         return format!(
@@ -88,28 +88,28 @@
     }
     let previous = end.text("previous");
     if refusal.is_some() && !previous.is_empty() {
-        let ended = story.earlier.iter().rev().find(|line| is_end_event(line));
+        let ended = trace.earlier.iter().rev().find(|line| is_end_event(line));
         let earlier = ended.map_or("no line names that turn".to_owned(), |line| {
             format!("that turn ended with {} {}", line.event, result_title(line)).trim_end().to_owned()
         });
         return format!("{reason}: {previous}; {earlier}");
     }
-    let replicas = story.nearby.iter().filter(|line| line.node.starts_with("storage")).count();
+    let replicas = trace.nearby.iter().filter(|line| line.node.starts_with("storage")).count();
     match replicas {
         0 => reason.to_owned(),
         _ => format!("{reason}; {replicas} state changes at ledger replicas shortly before, see below"),
     }
 }
 
-fn explain_given_up(end: &LogLine, story: &Story) -> String {
-    if let Some(no_room) = story.lines.iter().rev().find(|line| line.event == "no_room") {
+fn explain_given_up(end: &LogLine, trace: &CallTrace) -> String {
+    if let Some(no_room) = trace.lines.iter().rev().find(|line| line.event == "no_room") {
         return format!("{}: {}", result_title(end), explain_no_room(no_room));
     }
     let execution = match end.number("runs") {
         Some(0) => "no engine ran it",
         _ => "an engine may have run it",
     };
-    let failures: Vec<String> = story
+    let failures: Vec<String> = trace
         .lines
         .iter()
         .filter(|line| line.event == "attempt_failed" || line.event == "stream_broke_off")
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -11,11 +11,11 @@
 use http::Request;
 use http_body_util::Full;
 use serde_json::json;
-use sumacdrift_ctl::cause::cause_of;
+use sumacdrift_ctl::call_trace::collect_trace;
+use sumacdrift_ctl::cause::explain_end;
 use sumacdrift_ctl::groups::GroupsState;
 use sumacdrift_ctl::log::{LogLine, ParsedLogs, read_logs};
 use sumacdrift_ctl::metrics::parse_metrics;
-use sumacdrift_ctl::story::story_of;
 use sumacdrift_http_client::{HttpClient, HttpError};
 
 /// Exit code if nothing matched.
@@ -55,24 +55,24 @@
 fn explain(matches: &ArgMatches) -> Result<ExitCode, CtlError> {
     let id = matches.get_one::<String>("id").map(String::as_str).unwrap_or_default();
     let read = read_log_files(matches)?;
-    let story = story_of(id, &read.lines);
-    let cause = cause_of(&story);
+    let trace = collect_trace(id, &read.lines);
+    let cause = explain_end(&trace);
     if matches.get_flag("json") {
-        let text = json!({"id": id, "cause": cause, "lines": story.lines, "earlier": story.earlier,
-            "around": story.nearby, "unreadable": read.unreadable});
+        let text = json!({"id": id, "cause": cause, "lines": trace.lines, "earlier": trace.earlier,
+            "around": trace.nearby, "unreadable": read.unreadable});
         println!("{text}");
     } else {
         println!("{id}: {cause}");
         for (title, lines) in [
-            ("log lines", &story.lines),
-            ("earlier turn", &story.earlier),
-            ("state changes shortly before the end", &story.nearby),
+            ("log lines", &trace.lines),
+            ("earlier turn", &trace.earlier),
+            ("state changes shortly before the end", &trace.nearby),
         ] {
             print_lines(title, lines);
         }
         warn_unreadable(&read);
     }
-    Ok(if story.lines.is_empty() { ExitCode::from(NOT_FOUND) } else { ExitCode::SUCCESS })
+    Ok(if trace.lines.is_empty() { ExitCode::from(NOT_FOUND) } else { ExitCode::SUCCESS })
 }
 
 fn events(matches: &ArgMatches) -> Result<ExitCode, CtlError> {
--- a/crates/ctl/tests/reading.rs
+++ b/crates/ctl/tests/reading.rs
@@ -2,10 +2,10 @@
 
 use std::io::{Cursor, Read};
 
+use sumacdrift_ctl::call_trace::collect_trace;
 use sumacdrift_ctl::groups::GroupsState;
 use sumacdrift_ctl::log::read_logs;
 use sumacdrift_ctl::metrics::parse_metrics;
-use sumacdrift_ctl::story::story_of;
 
 fn source(text: &str) -> Box<dyn Read> {
     Box::new(Cursor::new(text.as_bytes().to_vec()))
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn a_story_holds_the_programs_calls_and_state_changes_near_its_end() {
+fn a_trace_holds_the_programs_calls_and_state_changes_near_its_end() {
     let read = read_logs(vec![source(EDGE), source(STORAGE)]).expect("logs");
-    let story = story_of("p", &read.lines);
-    assert_eq!(story.lines.len(), 2);
-    assert_eq!(story.nearby.iter().map(|line| line.event.as_str()).collect::<Vec<_>>(), ["journal_replayed"]);
-    assert_eq!(story_of("c1", &read.lines).lines.len(), 1);
-    assert!(story_of("nobody", &read.lines).lines.is_empty());
+    let trace = collect_trace("p", &read.lines);
+    assert_eq!(trace.lines.len(), 2);
+    assert_eq!(trace.nearby.iter().map(|line| line.event.as_str()).collect::<Vec<_>>(), ["journal_replayed"]);
+    assert_eq!(collect_trace("c1", &read.lines).lines.len(), 1);
+    assert!(collect_trace("nobody", &read.lines).lines.is_empty());
 }
 
 #[test]
--- a/crates/dissemination/src/feed.rs
+++ b/crates/dissemination/src/feed.rs
@@ -20,7 +20,7 @@
 
 /// All items of a kind, as listed by the store.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct ItemList {
     /// Kind of all listed items.
     pub kind: ItemKind,
     /// Every item of the kind at `revision`.
@@ -45,7 +45,7 @@
 /// Items of the store as known on one node, and their changes by position.
 #[derive(Debug, Clone)]
 pub struct Feed {
-    life: u64,
+    incarnation: u64,
     position: u64,
     revision: u64,
     stored: BTreeMap<Key, StoredItem>,
@@ -66,11 +66,11 @@
 }
 
 impl Feed {
-    /// Starts empty. `life` distinguishes this feed from those of other nodes and of earlier processes of
+    /// Starts empty. `incarnation` distinguishes this feed from those of other nodes and of earlier processes of
     /// this node.
-    pub fn new(life: u64) -> Self {
+    pub fn new(incarnation: u64) -> Self {
         Self {
-            life: life.max(1),
+            incarnation: incarnation.max(1),
             position: 0,
             revision: 0,
             stored: BTreeMap::new(),
@@ -131,13 +131,13 @@
     }
 
     /// Whether the store has listed every required kind since its last failure.
-    pub fn hears_store(&self) -> bool {
+    pub fn is_connected_to_store(&self) -> bool {
         self.unavailable_kinds.is_empty()
     }
 
     /// Whether the items are up to date: this node reaches the store, or merges the feed of a node that does.
     pub fn is_current(&self) -> bool {
-        self.hears_store() || self.has_current_peer()
+        self.is_connected_to_store() || self.has_current_peer()
     }
 
     /// Whether a merged feed is of a node that reaches the store.
@@ -146,9 +146,9 @@
     }
 
     /// Drops a merged feed that no longer responds; returns whether [`Self::is_current`] changed.
-    pub fn peer_lost(&mut self, life: u64) -> bool {
+    pub fn remove_peer(&mut self, incarnation: u64) -> bool {
         let was_current = self.is_current();
-        self.peers.remove(&life);
+        self.peers.remove(&incarnation);
         was_current != self.is_current()
     }
 
@@ -156,9 +156,9 @@
     /// The newer revision of an item wins, whichever feed it comes from.
     pub fn merge(&mut self, changes: Changes, now: Timestamp) -> bool {
         let (was_current, before) = (self.is_current(), self.position);
-        self.peers.insert(changes.life, changes.hears_store);
+        self.peers.insert(changes.incarnation, changes.hears_store);
         let complete_revisions = complete_revisions(&changes);
-        if changes.is_whole {
+        if changes.is_full {
             self.remove_missing(&changes, now);
         }
         for change in changes.changes {
@@ -221,21 +221,21 @@
     }
 
     /// Records that a request to the store for a kind failed; returns whether the kind was available before.
-    pub fn store_failed(&mut self, kind: ItemKind) -> bool {
+    pub fn record_store_failure(&mut self, kind: ItemKind) -> bool {
         self.unavailable_kinds.insert(kind)
     }
 
     /// Replaces the items of a kind, except newer ones, by a list; returns whether an item changed or the
     /// kind was unavailable before.
-    pub fn list(&mut self, listed: Listed, now: Timestamp) -> bool {
-        let was_unavailable = self.unavailable_kinds.remove(&listed.kind);
+    pub fn apply_list(&mut self, list: ItemList, now: Timestamp) -> bool {
+        let was_unavailable = self.unavailable_kinds.remove(&list.kind);
         let before = self.position;
-        let names = listed.items.iter().map(|item| item.name.as_str()).collect();
-        self.remove_unlisted(listed.kind, &names, listed.revision, listed.outage, now);
-        for item in listed.items {
+        let names = list.items.iter().map(|item| item.name.as_str()).collect();
+        self.remove_unlisted(list.kind, &names, list.revision, list.outage, now);
+        for item in list.items {
             self.put(item);
         }
-        self.advance_known_revision(listed.kind, listed.revision);
+        self.advance_known_revision(list.kind, list.revision);
         was_unavailable || self.position != before
     }
 
@@ -293,20 +293,24 @@
     }
 
     /// Whether a response to this request would carry anything new.
-    pub fn has_news_for(&self, request: &FollowRequest) -> bool {
-        request.life != self.life || request.after < self.position || request.part_behind.is_some()
+    pub fn has_changes_for(&self, request: &FollowRequest) -> bool {
+        request.incarnation != self.incarnation
+            || request.after < self.position
+            || request.part_behind.is_some()
     }
 
     /// Returns the changes that a follower lacks, or a full response if its position is unknown or too old.
     pub fn changes(&self, request: &FollowRequest, now: Timestamp) -> Changes {
         let is_continuation = request.part_behind.is_some();
-        let is_whole = is_continuation || request.life != self.life || request.after < self.incremental_since;
-        let after = if is_whole { 0 } else { request.after };
+        let is_full = is_continuation
+            || request.incarnation != self.incarnation
+            || request.after < self.incremental_since;
+        let after = if is_full { 0 } else { request.after };
         let mut changes: Vec<ItemChange> = Vec::new();
         // In a full response, items that are missing count as removed. This is not enough for evacuations: a
         // follower that learned of one from another feed drops it only by the revision of its removal, as
         // this feed may lag behind the other.
-        let sends_removal = |kind: i32| !is_whole || kind == ItemKind::Evacuation as i32;
+        let sends_removal = |kind: i32| !is_full || kind == ItemKind::Evacuation as i32;
         let removals = self.removals.iter().filter(|(position, key)| {
             *position > after && sends_removal(key.0) && !is_continuation && !self.stored.contains_key(key)
         });
@@ -316,31 +320,31 @@
             ItemChange { item: Some(item), is_gone: true }
         }));
         let to_change = |stored: &StoredItem| ItemChange { item: Some(stored.item.clone()), is_gone: false };
-        let mut more_behind = None;
-        if is_whole && request.takes_parts {
-            more_behind =
+        let mut last_item_of_part = None;
+        if is_full && request.takes_parts {
+            last_item_of_part =
                 self.visit_part(request.part_behind.as_ref(), |stored| changes.push(to_change(stored)));
         } else {
             changes.extend(self.changed_since(after).map(to_change));
         }
         let is_recent = now.since(self.outage_listed_at) < OUTAGE_REPORT_PERIOD;
-        let outage = if is_whole && is_recent { self.outage } else { Duration::ZERO };
+        let outage = if is_full && is_recent { self.outage } else { Duration::ZERO };
         // Rounded up, so that the age is never understated.
         let age = self.configuration_age(now).map(|age| age + Duration::from_millis(1));
         Changes {
-            life: self.life,
+            incarnation: self.incarnation,
             at: self.position,
-            is_whole,
+            is_full,
             outage_millis: u64::try_from(outage.as_millis()).unwrap_or(u64::MAX),
             is_current: self.is_current(),
             changes,
-            hears_store: self.hears_store(),
+            hears_store: self.is_connected_to_store(),
             configurations_to: self.known_revision(ItemKind::Configuration),
             engines_to: self.known_revision(ItemKind::Engine),
             evacuations_to: self.known_revision(ItemKind::Evacuation),
             configuration_age_millis: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             held_millis: 0,
-            more_behind,
+            last_item_of_part,
         }
     }
 
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -12,6 +12,6 @@
 mod recent_changes;
 mod source_choice;
 
-pub use feed::{Feed, Listed};
+pub use feed::{Feed, ItemList};
 pub use message::{Changes, FollowRequest, Item, ItemChange, ItemKey, ItemKind, Snapshot};
-pub use source_choice::{Heard, NextSource, SourceChoice};
+pub use source_choice::{FeedOutcome, NextSource, SourceChoice};
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -63,7 +63,7 @@
 pub struct FollowRequest {
     /// Incarnation of the feed that `after` belongs to; 0 if the follower has no state.
     #[prost(uint64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Position up to which the follower has all changes.
     #[prost(uint64, tag = "2")]
     pub after: u64,
@@ -94,13 +94,13 @@
 pub struct Changes {
     /// Incarnation of the feed.
     #[prost(uint64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Position up to which the follower has all changes after this response.
     #[prost(uint64, tag = "2")]
     pub at: u64,
     /// Whether the response is full: items that are not in it were removed.
     #[prost(bool, tag = "3")]
-    pub is_whole: bool,
+    pub is_full: bool,
     /// Duration in milliseconds of a store outage that ended just before the feed listed the store; 0
     /// otherwise. Engines may be missing only because they could not report during it.
     #[prost(uint64, tag = "4")]
@@ -133,7 +133,7 @@
     pub evacuations_to: u64,
     /// Last item of this part of a full response, if more parts follow.
     #[prost(message, optional, tag = "13")]
-    pub more_behind: Option<ItemKey>,
+    pub last_item_of_part: Option<ItemKey>,
 }
 
 /// All items of a feed, persisted for the next start of its process.
--- a/crates/dissemination/src/source_choice.rs
+++ b/crates/dissemination/src/source_choice.rs
@@ -5,19 +5,19 @@
 use sumacdrift_types::Timestamp;
 
 /// Consecutive feeds that may fail to respond before the follower switches to the store.
-const MAX_SILENT_FEEDS: usize = 3;
+const MAX_UNRESPONSIVE_FEEDS: usize = 3;
 /// Time that a follower uses the store before it tries feeds again.
 const STORE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Outcome of a request to a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum FeedOutcome {
     /// Response of a feed that is up to date.
     Current,
     /// Response of a feed that is not up to date.
     Stale,
-    /// No response.
-    Nothing,
+    /// The request failed or timed out.
+    NoResponse,
 }
 
 /// Next source of a follower.
@@ -45,7 +45,7 @@
 /// Chooses between feeds and the store.
 ///
 /// A follower stays with a feed that reaches the store, and moves on to the next one if a request fails or
-/// the feed does not reach the store. After [`MAX_SILENT_FEEDS`] consecutive failures it follows the store
+/// the feed does not reach the store. After [`MAX_UNRESPONSIVE_FEEDS`] consecutive failures it follows the store
 /// for a while. If feeds respond but none reaches the store, the store is most likely down, and requests from
 /// every node would only add to its load: the follower cycles through the feeds, with one waiting request to
 /// each.
@@ -53,7 +53,7 @@
 pub struct SourceChoice {
     wait_for_feeds_until: Timestamp,
     next_feed: usize,
-    consecutive_silent: usize,
+    consecutive_unresponsive: usize,
     consecutive_stale: usize,
     store_until: Option<Timestamp>,
 }
@@ -65,7 +65,7 @@
         Self {
             wait_for_feeds_until: now + startup_wait,
             next_feed: 0,
-            consecutive_silent: 0,
+            consecutive_unresponsive: 0,
             consecutive_stale: 0,
             store_until: None,
         }
@@ -83,36 +83,36 @@
             }
             return self.switch_to_store(now);
         }
-        if self.consecutive_silent >= MAX_SILENT_FEEDS.min(feeds) {
+        if self.consecutive_unresponsive >= MAX_UNRESPONSIVE_FEEDS.min(feeds) {
             return self.switch_to_store(now);
         }
         // After one round of stale feeds, waiting at each of them is all that is left.
-        let may_wait =
-            self.consecutive_silent == 0 && (self.consecutive_stale == 0 || self.consecutive_stale >= feeds);
+        let may_wait = self.consecutive_unresponsive == 0
+            && (self.consecutive_stale == 0 || self.consecutive_stale >= feeds);
         NextSource::Feed { place: self.next_feed % feeds, may_wait }
     }
 
     /// Records the outcome of the last request to a feed.
-    pub fn heard(&mut self, heard: Heard) {
-        match heard {
-            Heard::Current => {
-                self.consecutive_silent = 0;
+    pub fn record_outcome(&mut self, outcome: FeedOutcome) {
+        match outcome {
+            FeedOutcome::Current => {
+                self.consecutive_unresponsive = 0;
                 self.consecutive_stale = 0;
             }
-            Heard::Stale => {
-                self.consecutive_silent = 0;
+            FeedOutcome::Stale => {
+                self.consecutive_unresponsive = 0;
                 self.consecutive_stale += 1;
                 self.next_feed += 1;
             }
-            Heard::Nothing => {
-                self.consecutive_silent += 1;
+            FeedOutcome::NoResponse => {
+                self.consecutive_unresponsive += 1;
                 self.next_feed += 1;
             }
         }
     }
 
     fn switch_to_store(&mut self, now: Timestamp) -> NextSource {
-        self.consecutive_silent = 0;
+        self.consecutive_unresponsive = 0;
         let until = now + STORE_PERIOD;
         self.store_until = Some(until);
         NextSource::Store { until }
--- a/crates/dissemination/tests/feed.rs
+++ b/crates/dissemination/tests/feed.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sumacdrift_dissemination::{Changes, Feed, FollowRequest, Item, ItemChange, ItemKind, Listed};
+use sumacdrift_dissemination::{Changes, Feed, FollowRequest, Item, ItemChange, ItemKind, ItemList};
 use sumacdrift_types::Timestamp;
 
 fn at(millis: u64) -> Timestamp {
@@ -17,27 +17,27 @@
     Item::new(ItemKind::Engine, name, Bytes::copy_from_slice(content.as_bytes()), revision)
 }
 
-fn listed(items: Vec<Item>, revision: u64, outage: Duration) -> Listed {
-    Listed { kind: ItemKind::Engine, items, revision, outage }
+fn item_list(items: Vec<Item>, revision: u64, outage: Duration) -> ItemList {
+    ItemList { kind: ItemKind::Engine, items, revision, outage }
 }
 
 /// A follower that applies the responses of a feed.
 #[derive(Default)]
 struct Model {
-    life: u64,
+    incarnation: u64,
     after: u64,
     items: BTreeMap<String, Bytes>,
 }
 
 impl Model {
     fn request(&self) -> FollowRequest {
-        FollowRequest { life: self.life, after: self.after, ..FollowRequest::default() }
+        FollowRequest { incarnation: self.incarnation, after: self.after, ..FollowRequest::default() }
     }
 
     fn follow(&mut self, feed: &Feed, now: Timestamp) -> Changes {
         let changes = feed.changes(&self.request(), now);
-        (self.life, self.after) = (changes.life, changes.at);
-        if changes.is_whole {
+        (self.incarnation, self.after) = (changes.incarnation, changes.at);
+        if changes.is_full {
             self.items.clear();
         }
         for change in &changes.changes {
@@ -59,16 +59,16 @@
 #[test]
 fn follower_gets_one_full_response_then_changes() {
     let mut feed = Feed::new(7);
-    feed.list(listed(vec![engine("a", "1", 1), engine("b", "1", 2)], 2, Duration::ZERO), at(0));
+    feed.apply_list(item_list(vec![engine("a", "1", 1), engine("b", "1", 2)], 2, Duration::ZERO), at(0));
     let mut model = Model::default();
-    assert!(model.follow(&feed, at(1)).is_whole);
+    assert!(model.follow(&feed, at(1)).is_full);
     assert_eq!(model.items, items_of(&feed));
-    assert!(!feed.has_news_for(&model.request()));
+    assert!(!feed.has_changes_for(&model.request()));
     feed.put(engine("c", "1", 3));
     feed.remove(ItemKind::Engine, "a", 4);
-    assert!(feed.has_news_for(&model.request()));
+    assert!(feed.has_changes_for(&model.request()));
     let changes = model.follow(&feed, at(2));
-    assert!(!changes.is_whole);
+    assert!(!changes.is_full);
     assert_eq!(changes.changes.len(), 2);
     assert_eq!(model.items, items_of(&feed));
     assert_eq!(feed.revision(), 4);
@@ -77,10 +77,10 @@
 #[test]
 fn unchanged_content_makes_no_change() {
     let mut feed = Feed::new(7);
-    feed.list(listed(vec![engine("a", "1", 1)], 1, Duration::ZERO), at(0));
+    feed.apply_list(item_list(vec![engine("a", "1", 1)], 1, Duration::ZERO), at(0));
     let position = feed.position();
     assert!(!feed.put(engine("a", "1", 5)));
-    assert!(!feed.list(listed(vec![engine("a", "1", 5)], 5, Duration::ZERO), at(1)));
+    assert!(!feed.apply_list(item_list(vec![engine("a", "1", 5)], 5, Duration::ZERO), at(1)));
     assert_eq!(feed.position(), position);
     assert_eq!(feed.revision(), 5);
 }
@@ -88,12 +88,12 @@
 #[test]
 fn outage_is_reported_when_engines_are_missing_after_it() {
     let mut feed = Feed::new(7);
-    feed.list(listed(vec![engine("a", "1", 1), engine("b", "1", 1)], 1, Duration::ZERO), at(0));
+    feed.apply_list(item_list(vec![engine("a", "1", 1), engine("b", "1", 1)], 1, Duration::ZERO), at(0));
     let mut model = Model::default();
     model.follow(&feed, at(0));
-    feed.list(listed(vec![engine("a", "1", 1)], 9, Duration::from_secs(4)), at(5_000));
+    feed.apply_list(item_list(vec![engine("a", "1", 1)], 9, Duration::from_secs(4)), at(5_000));
     let changes = model.follow(&feed, at(5_010));
-    assert!(changes.is_whole);
+    assert!(changes.is_full);
     assert_eq!(changes.outage_millis, 4_000);
     assert_eq!(model.items, items_of(&feed));
     // A later follower is not told of the outage: engines that are still missing are gone.
@@ -106,21 +106,21 @@
     let mut feed = Feed::new(7);
     feed.restore(sumacdrift_dissemination::Snapshot { items: vec![engine("a", "1", 1)] });
     assert!(!feed.is_current());
-    feed.list(listed(vec![engine("a", "1", 1)], 1, Duration::ZERO), at(0));
+    feed.apply_list(item_list(vec![engine("a", "1", 1)], 1, Duration::ZERO), at(0));
     assert!(!feed.is_current());
-    let configuration = Listed {
+    let configuration = ItemList {
         kind: ItemKind::Configuration,
         items: vec![Item::new(ItemKind::Configuration, "main", Bytes::from_static(b"x"), 2)],
         revision: 2,
         outage: Duration::ZERO,
     };
-    feed.list(configuration, at(0));
+    feed.apply_list(configuration, at(0));
     assert!(feed.is_current());
-    assert!(feed.store_failed(ItemKind::Engine));
-    assert!(!feed.store_failed(ItemKind::Engine));
+    assert!(feed.record_store_failure(ItemKind::Engine));
+    assert!(!feed.record_store_failure(ItemKind::Engine));
     assert!(!feed.is_current());
     // A list of one kind leaves items of other kinds alone.
-    feed.list(listed(Vec::new(), 3, Duration::ZERO), at(0));
+    feed.apply_list(item_list(Vec::new(), 3, Duration::ZERO), at(0));
     assert!(feed.is_current());
     assert_eq!(items_of(&feed).keys().collect::<Vec<_>>(), ["main"]);
 }
@@ -129,12 +129,12 @@
 fn follower_that_switches_feeds_gets_a_full_response() {
     let (mut first, mut second) = (Feed::new(1), Feed::new(2));
     for feed in [&mut first, &mut second] {
-        feed.list(listed(vec![engine("a", "1", 1), engine("b", "1", 1)], 1, Duration::ZERO), at(0));
+        feed.apply_list(item_list(vec![engine("a", "1", 1), engine("b", "1", 1)], 1, Duration::ZERO), at(0));
     }
     let mut model = Model::default();
     model.follow(&first, at(0));
     second.remove(ItemKind::Engine, "b", 2);
-    assert!(model.follow(&second, at(0)).is_whole);
+    assert!(model.follow(&second, at(0)).is_full);
     assert_eq!(model.items, items_of(&second));
 }
 
@@ -151,7 +151,7 @@
             0 => {
                 let remaining = feed.snapshot().items.into_iter().filter(|_| next(8) > 0).collect();
                 let outage = Duration::from_millis(next(2) * 2_000);
-                feed.list(listed(remaining, step, outage), at(step));
+                feed.apply_list(item_list(remaining, step, outage), at(step));
             }
             1..8 => drop(feed.remove(ItemKind::Engine, &name, step)),
             _ => drop(feed.put(engine(&name, &next(3).to_string(), step))),
@@ -160,7 +160,7 @@
         // kept.
         for (position, model) in models.iter_mut().enumerate() {
             if next(10_u64.pow(position as u32 + 1)) == 0 {
-                full_responses += usize::from(model.follow(&feed, at(step)).is_whole);
+                full_responses += usize::from(model.follow(&feed, at(step)).is_full);
                 assert_eq!(model.items, items_of(&feed), "step {step}");
             }
         }
@@ -181,8 +181,9 @@
     assert!(feed.remove(ItemKind::Evacuation, "z1", 7));
     feed.put(engine("e", "x", 8));
     assert!(feed.remove(ItemKind::Engine, "e", 9));
-    let changes = feed.changes(&FollowRequest { life: 99, after: 3, ..FollowRequest::default() }, at(1));
-    assert!(changes.is_whole);
+    let changes =
+        feed.changes(&FollowRequest { incarnation: 99, after: 3, ..FollowRequest::default() }, at(1));
+    assert!(changes.is_full);
     let received: Vec<_> =
         changes.changes.iter().map(|change| (change.is_gone, change.item.clone())).collect();
     assert_eq!(received.len(), 1, "removed engines must not be sent: {received:?}");
@@ -196,7 +197,7 @@
 fn items_of_unknown_kinds_are_stored_and_removed() {
     let unknown = |revision| Item { kind: 99, name: "main".to_owned(), revision, ..Item::default() };
     let changes_of = |item, is_gone| Changes {
-        life: 7,
+        incarnation: 7,
         changes: vec![ItemChange { item: Some(item), is_gone }],
         ..Changes::default()
     };
@@ -227,8 +228,8 @@
     let mut ahead = Feed::new(1);
     ahead.put(evacuation("z1", 5));
     let mut behind = Feed::new(2);
-    behind.list(
-        Listed { kind: ItemKind::Evacuation, items: Vec::new(), revision: 4, outage: Duration::ZERO },
+    behind.apply_list(
+        ItemList { kind: ItemKind::Evacuation, items: Vec::new(), revision: 4, outage: Duration::ZERO },
         at(1),
     );
     ahead.merge(behind.changes(&FollowRequest::default(), at(2)), at(2));
--- a/crates/dissemination/tests/parts.rs
+++ b/crates/dissemination/tests/parts.rs
@@ -15,10 +15,10 @@
     let first = FollowRequest { takes_parts: true, ..FollowRequest::default() };
     let mut response = feed.changes(&first, at(1));
     let mut parts = 1;
-    while let Some(after_item) = response.more_behind.take() {
+    while let Some(after_item) = response.last_item_of_part.take() {
         change(feed, parts);
         let next = FollowRequest {
-            life: response.life,
+            incarnation: response.incarnation,
             takes_parts: true,
             part_behind: Some(after_item),
             ..FollowRequest::default()
@@ -26,7 +26,7 @@
         let part = feed.changes(&next, at(1));
         assert!(part.changes.len() < 400, "part has too many items");
         response.changes.extend(part.changes);
-        response.more_behind = part.more_behind;
+        response.last_item_of_part = part.last_item_of_part;
         parts += 1;
     }
     (response, parts)
@@ -53,7 +53,8 @@
     let mut follower = Feed::new(6);
     let position = response.at;
     follower.merge(response, at(2));
-    let later = FollowRequest { life: 5, after: position, takes_parts: true, ..FollowRequest::default() };
+    let later =
+        FollowRequest { incarnation: 5, after: position, takes_parts: true, ..FollowRequest::default() };
     follower.merge(feed.changes(&later, at(2)), at(2));
     assert_eq!(follower.snapshot(), feed.snapshot());
 }
@@ -65,5 +66,5 @@
         feed.put(engine(number, 1));
     }
     let response = feed.changes(&FollowRequest::default(), at(1));
-    assert_eq!((response.changes.len(), response.more_behind), (2_000, None));
+    assert_eq!((response.changes.len(), response.last_item_of_part), (2_000, None));
 }
--- a/crates/dissemination/tests/recorded_forms/main.rs
+++ b/crates/dissemination/tests/recorded_forms/main.rs
@@ -36,7 +36,7 @@
 }
 
 fn first_request() -> FollowRequest {
-    FollowRequest { life: 77, after: 12, wait_millis: 2000, takes_parts: false, part_behind: None }
+    FollowRequest { incarnation: 77, after: 12, wait_millis: 2000, takes_parts: false, part_behind: None }
 }
 
 fn newest_request() -> FollowRequest {
@@ -47,9 +47,9 @@
 fn first_changes() -> Changes {
     let removed = Item { content: Bytes::new(), ..item_of(ItemKind::Engine) };
     Changes {
-        life: 77,
+        incarnation: 77,
         at: 12,
-        is_whole: true,
+        is_full: true,
         outage_millis: 2500,
         is_current: true,
         changes: vec![
@@ -62,7 +62,7 @@
         configuration_age_millis: None,
         held_millis: 0,
         evacuations_to: 0,
-        more_behind: None,
+        last_item_of_part: None,
     }
 }
 
@@ -72,8 +72,8 @@
         Changes { hears_store: true, configurations_to: 9, engines_to: 10, ..first_changes() };
     let with_age = Changes { configuration_age_millis: Some(0), held_millis: 40, ..with_revisions.clone() };
     let with_evacuations = Changes { evacuations_to: 11, ..with_age.clone() };
-    let more_behind = Some(ItemKey { kind: ItemKind::Engine as i32, name: "e1".to_owned() });
-    let in_parts = Changes { more_behind, ..with_evacuations.clone() };
+    let last_item_of_part = Some(ItemKey { kind: ItemKind::Engine as i32, name: "e1".to_owned() });
+    let in_parts = Changes { last_item_of_part, ..with_evacuations.clone() };
     [("1", first_changes()), ("2", with_revisions), ("3", with_age), ("4", with_evacuations), ("5", in_parts)]
 }
 
--- a/crates/dissemination/tests/source_choice.rs
+++ b/crates/dissemination/tests/source_choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sumacdrift_dissemination::{Heard, NextSource, SourceChoice};
+use sumacdrift_dissemination::{FeedOutcome, NextSource, SourceChoice};
 use sumacdrift_types::Timestamp;
 
 fn at(millis: u64) -> Timestamp {
@@ -19,26 +19,26 @@
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     for _ in 0..10 {
         assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 0, may_wait: true });
-        choice.heard(Heard::Current);
+        choice.record_outcome(FeedOutcome::Current);
     }
 }
 
 #[test]
-fn silent_feed_is_replaced_by_the_next() {
+fn feed_without_response_is_replaced_by_the_next() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     assert_eq!(feed_index(choice.next(5, at(0))), 0);
-    choice.heard(Heard::Nothing);
+    choice.record_outcome(FeedOutcome::NoResponse);
     assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 1, may_wait: false });
-    choice.heard(Heard::Current);
+    choice.record_outcome(FeedOutcome::Current);
     assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 1, may_wait: true });
 }
 
 #[test]
-fn store_is_used_for_a_while_after_three_silent_feeds() {
+fn store_is_used_for_a_while_after_three_feeds_without_response() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     for _ in 0..3 {
         feed_index(choice.next(5, at(100)));
-        choice.heard(Heard::Nothing);
+        choice.record_outcome(FeedOutcome::NoResponse);
     }
     let NextSource::Store { until } = choice.next(5, at(100)) else { panic!("expected the store") };
     assert_eq!(choice.next(5, at(200)), NextSource::Store { until });
@@ -52,17 +52,17 @@
     for _ in 0..8 {
         let NextSource::Feed { place, may_wait } = choice.next(3, at(0)) else { panic!("expected a feed") };
         asked.push((place, may_wait));
-        choice.heard(Heard::Stale);
+        choice.record_outcome(FeedOutcome::Stale);
     }
     assert_eq!(asked[..5], [(0, true), (1, false), (2, false), (0, true), (1, true)]);
     assert!(asked[5..].iter().all(|(_, may_wait)| *may_wait));
 }
 
 #[test]
-fn store_is_used_when_the_only_feed_is_silent() {
+fn store_is_used_when_the_only_feed_does_not_respond() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     feed_index(choice.next(1, at(0)));
-    choice.heard(Heard::Nothing);
+    choice.record_outcome(FeedOutcome::NoResponse);
     assert!(matches!(choice.next(1, at(0)), NextSource::Store { .. }));
 }
 
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -315,7 +315,7 @@
         if regions.are_all() {
             return &self.ledger;
         }
-        self.region_bound_ledger.learn_map(&self.ledger.map());
+        self.region_bound_ledger.adopt_map(&self.ledger.map());
         &self.region_bound_ledger
     }
 
--- a/crates/edge/src/state_exchange.rs
+++ b/crates/edge/src/state_exchange.rs
@@ -89,7 +89,7 @@
         let now = self.clock.now();
         let engines = self.engines().len();
         if self.exchange_schedule.is_report_due(engines, now) {
-            if self.ledger.tells_board() {
+            if self.ledger.uses_zone_board() {
                 self.report_to_board(now);
             } else {
                 self.add_load_report(&mut update, now);
@@ -105,7 +105,7 @@
         self.add_load_report(&mut update, now);
         let ledger = Arc::clone(&self.ledger);
         let update = Bytes::from(update.encode_to_vec());
-        tokio::spawn(async move { ledger.tell_board(update).await });
+        tokio::spawn(async move { ledger.report_to_zone_board(update).await });
     }
 
     fn add_load_report(&self, update: &mut News, now: Timestamp) {
@@ -121,7 +121,7 @@
     fn apply_view(&self, view: View) {
         let now = self.clock.now();
         let relays: Vec<SocketAddr> = view.relays.iter().filter_map(|relay| relay.parse().ok()).collect();
-        self.ledger.learn_relays(relays);
+        self.ledger.set_relays(relays);
         {
             let mut engines = self.engines();
             if let Some(loads) = &view.loads {
@@ -146,7 +146,7 @@
 pub(crate) struct EdgeViewSink<D: Dialect>(pub(crate) Weak<Edge<D>>);
 
 impl<D: Dialect> ViewSink for EdgeViewSink<D> {
-    fn take(&self, view: Bytes) {
+    fn apply(&self, view: Bytes) {
         // Malformed views, and those that arrive after the edge is gone, are dropped.
         if let (Some(edge), Ok(view)) = (self.0.upgrade(), View::decode(view)) {
             edge.apply_view(view);
@@ -156,5 +156,5 @@
 
 /// Subscribes an edge to the views that the ledger's replicas send.
 pub(crate) fn subscribe_to_views<D: Dialect>(edge: &Arc<Edge<D>>) {
-    edge.ledger.tell_views_to(Arc::new(EdgeViewSink(Arc::downgrade(edge))));
+    edge.ledger.set_view_sink(Arc::new(EdgeViewSink(Arc::downgrade(edge))));
 }
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -14,7 +14,7 @@
     /// Opens a segment for reading from its start; also returns its length in bytes.
     fn read(&mut self, segment: SegmentNumber) -> io::Result<(Box<dyn Read>, u64)>;
     /// Syncs a segment written by an earlier process.
-    fn settle(&mut self, segment: SegmentNumber) -> io::Result<()>;
+    fn sync_existing(&mut self, segment: SegmentNumber) -> io::Result<()>;
     /// Creates an empty segment, which receives all later appends.
     fn create(&mut self, segment: SegmentNumber) -> io::Result<()>;
     /// Appends to the segment created last.
@@ -27,14 +27,14 @@
 
 /// Stores segments as files in a directory.
 #[derive(Debug)]
-pub struct FolderDisk {
+pub struct DirectoryDisk {
     directory: PathBuf,
     current_segment: Option<File>,
 }
 
 const SEGMENT_SUFFIX: &str = ".journal";
 
-impl FolderDisk {
+impl DirectoryDisk {
     /// Uses `directory`, which is created if it does not exist.
     pub fn open(directory: PathBuf) -> io::Result<Self> {
         std::fs::create_dir_all(&directory)?;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Disk for FolderDisk {
+impl Disk for DirectoryDisk {
     fn list(&mut self) -> io::Result<Vec<SegmentNumber>> {
         let mut segments = Vec::new();
         for entry in std::fs::read_dir(&self.directory)? {
@@ -72,7 +72,7 @@
         Ok((Box::new(BufReader::new(file)), length))
     }
 
-    fn settle(&mut self, segment: SegmentNumber) -> io::Result<()> {
+    fn sync_existing(&mut self, segment: SegmentNumber) -> io::Result<()> {
         OpenOptions::new().write(true).open(self.path(segment))?.sync_data()
     }
 
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -63,7 +63,7 @@
         if let Some(last) = closed.back() {
             // The previous process may have died before its sync completed. The caller acts on the replayed records,
             // so they must be durable.
-            disk.settle(last.number)?;
+            disk.sync_existing(last.number)?;
         }
         let number = closed.back().map_or(0, |last: &Segment| last.number + 1);
         disk.create(number)?;
@@ -96,7 +96,7 @@
     }
 
     /// Starts a new segment and returns its number.
-    pub fn begin_segment(&mut self) -> Result<SegmentNumber, JournalError> {
+    pub fn start_segment(&mut self) -> Result<SegmentNumber, JournalError> {
         let number = self.current.number + 1;
         self.disk.create(number)?;
         self.closed.push_back(self.current);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -9,7 +9,7 @@
 mod record;
 mod writer;
 
-pub use disk::{Disk, FolderDisk, SegmentNumber};
+pub use disk::{DirectoryDisk, Disk, SegmentNumber};
 pub use journal::{Journal, JournalError, JournalSettings};
 pub use record::{RECORD_HEADER_BYTES, encode_record, read_records};
 pub use writer::{CommitCallback, JournalFailure, JournalWriter, WriterStopped};
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -45,7 +45,7 @@
 
 enum Request {
     Commit(Bytes, CommitCallback),
-    BeginSegment(Box<dyn FnOnce(Option<SegmentNumber>) + Send>),
+    StartSegment(Box<dyn FnOnce(Option<SegmentNumber>) + Send>),
     RemoveBelow(SegmentNumber),
 }
 
@@ -71,7 +71,7 @@
     }
 
     /// Executes each request on the calling thread, for in-memory disks under a virtual clock.
-    pub fn in_place<D: Disk + 'static>(mut journal: Journal<D>) -> Self {
+    pub fn inline<D: Disk + 'static>(mut journal: Journal<D>) -> Self {
         let handler = move |request| handle_request(&mut journal, request);
         Self { backend: Backend::Inline(Mutex::new(Box::new(handler))) }
     }
@@ -81,12 +81,12 @@
         self.send(Request::Commit(record, on_committed))
     }
 
-    /// Starts a new segment after all queued requests and passes its number to `on_begun`, or `None` on failure.
-    pub fn begin_segment(
+    /// Starts a new segment after all queued requests and passes its number to `on_started`, or `None` on failure.
+    pub fn start_segment(
         &self,
-        on_begun: Box<dyn FnOnce(Option<SegmentNumber>) + Send>,
+        on_started: Box<dyn FnOnce(Option<SegmentNumber>) + Send>,
     ) -> Result<(), WriterStopped> {
-        self.send(Request::BeginSegment(on_begun))
+        self.send(Request::StartSegment(on_started))
     }
 
     /// Removes the segments below `number` after all queued requests. Errors are ignored.
@@ -133,7 +133,7 @@
 
 fn handle_request<D: Disk>(journal: &mut Journal<D>, request: Request) {
     match request {
-        Request::BeginSegment(on_begun) => on_begun(journal.begin_segment().ok()),
+        Request::StartSegment(on_started) => on_started(journal.start_segment().ok()),
         Request::RemoveBelow(number) => {
             let _ = journal.remove_below(number);
         }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -5,7 +5,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use simulated_disk::SimulatedDisk;
-use sumacdrift_journal::{FolderDisk, Journal, JournalError, JournalSettings, encode_record, read_records};
+use sumacdrift_journal::{
+    DirectoryDisk, Journal, JournalError, JournalSettings, encode_record, read_records,
+};
 
 const SETTINGS: JournalSettings = JournalSettings { capacity_bytes: 1 << 20 };
 
@@ -28,7 +30,7 @@
     let disk = SimulatedDisk::default();
     let (mut journal, _, _) = reopen(&disk);
     journal.commit([&b"first"[..], b"second"]).expect("a commit");
-    journal.begin_segment().expect("a segment");
+    journal.start_segment().expect("a segment");
     journal.commit([&b"third"[..]]).expect("a commit");
     let (_, records, torn) = reopen(&disk);
     assert_eq!(records, [b"first".to_vec(), b"second".to_vec(), b"third".to_vec()]);
@@ -113,7 +115,7 @@
     let record = [7_u8; 80];
     journal.commit([&record[..]]).expect("a commit within capacity");
     assert!(matches!(journal.commit([&record[..]]), Err(JournalError::Full(88))));
-    let next = journal.begin_segment().expect("a segment");
+    let next = journal.start_segment().expect("a segment");
     journal.remove_below(next).expect("a removal");
     journal.commit([&record[..]]).expect("a commit after the removal");
 }
@@ -132,12 +134,12 @@
     let directory = tempfile::tempdir().expect("a temporary directory");
     let path = directory.path().join("journal");
     let open = |records: &mut Vec<Vec<u8>>| {
-        let disk = FolderDisk::open(path.clone()).expect("a disk");
+        let disk = DirectoryDisk::open(path.clone()).expect("a disk");
         Journal::open(disk, SETTINGS, |record| records.push(record.to_vec())).expect("a journal").0
     };
     let mut journal = open(&mut Vec::new());
     journal.commit([&b"kept"[..]]).expect("a commit");
-    let next = journal.begin_segment().expect("a segment");
+    let next = journal.start_segment().expect("a segment");
     journal.commit([&b"newer"[..]]).expect("a commit");
     journal.remove_below(next).expect("a removal");
     let mut records = Vec::new();
--- a/crates/journal/tests/recorded_forms.rs
+++ b/crates/journal/tests/recorded_forms.rs
@@ -5,7 +5,7 @@
 use std::fs;
 use std::path::Path;
 
-use sumacdrift_journal::{FolderDisk, Journal, JournalSettings, encode_record, read_records};
+use sumacdrift_journal::{DirectoryDisk, Journal, JournalSettings, encode_record, read_records};
 use sumacdrift_recorded_forms::{Codec, RecordedForms};
 
 const SEGMENT: &str = "Segment";
@@ -48,9 +48,9 @@
     }
 }
 
-fn open(directory: &Path) -> (Journal<FolderDisk>, Vec<Vec<u8>>) {
+fn open(directory: &Path) -> (Journal<DirectoryDisk>, Vec<Vec<u8>>) {
     let mut replayed = Vec::new();
-    let disk = FolderDisk::open(directory.to_owned()).expect("a disk");
+    let disk = DirectoryDisk::open(directory.to_owned()).expect("a disk");
     let opened = Journal::open(disk, SETTINGS, |record| replayed.push(record.to_vec()));
     let (journal, torn_bytes) = opened.expect("a journal");
     assert_eq!(torn_bytes, 0);
--- a/crates/journal/tests/simulated_disk/mod.rs
+++ b/crates/journal/tests/simulated_disk/mod.rs
@@ -75,7 +75,7 @@
         Ok((Box::new(io::Cursor::new(bytes)), length))
     }
 
-    fn settle(&mut self, segment: SegmentNumber) -> io::Result<()> {
+    fn sync_existing(&mut self, segment: SegmentNumber) -> io::Result<()> {
         let mut state = self.state();
         let content = state.segments.get_mut(&segment).ok_or(io::ErrorKind::NotFound)?;
         for write in std::mem::take(&mut content.unsynced) {
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -10,14 +10,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct TurnAccount {
     /// Maximum that the turn may generate; 0 if only its end is known.
-    pub(crate) most_tokens: u64,
+    pub(crate) max_tokens: u64,
     /// Tokens delivered to the caller; `None` until the end is known.
     pub(crate) ended_tokens: Option<u64>,
 }
 
 impl TurnAccount {
     fn charged_tokens(&self) -> u64 {
-        let reserved = if is_broken(Rule::LedgerOpenTurnsCount) { 0 } else { self.most_tokens };
+        let reserved = if is_broken(Rule::LedgerOpenTurnsCount) { 0 } else { self.max_tokens };
         self.ended_tokens.unwrap_or(reserved)
     }
 }
@@ -31,11 +31,11 @@
 
 impl ProgramAccount {
     /// Records the start of a turn; returns whether this adds information.
-    pub(crate) fn record_begin(&mut self, turn: &str, most_tokens: u64) -> bool {
+    pub(crate) fn record_begin(&mut self, turn: &str, max_tokens: u64) -> bool {
         let is_known = self.turns.contains_key(turn);
         let account = self.turns.entry(turn.to_owned()).or_default();
-        let is_new = !is_known || most_tokens > account.most_tokens;
-        account.most_tokens = account.most_tokens.max(most_tokens);
+        let is_new = !is_known || max_tokens > account.max_tokens;
+        account.max_tokens = account.max_tokens.max(max_tokens);
         is_new
     }
 
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestClass {
     /// Begins a turn. Rejecting it loses no work, and the caller can try another member.
-    NewWork,
+    BeginTurn,
     /// Ends turns, transfers records or reads them.
     Other,
 }
@@ -50,9 +50,9 @@
     }
 
     /// Whether to admit a request that enqueues this many bytes. An empty queue accepts a request of any size.
-    pub fn takes(&self, class: RequestClass, bytes: usize, now: Timestamp) -> bool {
+    pub fn admits(&self, class: RequestClass, bytes: usize, now: Timestamp) -> bool {
         let has_capacity = self.queue.is_empty() || self.bytes + bytes <= self.max_bytes;
-        has_capacity && !(class == RequestClass::NewWork && self.exceeds_queue_delay(now))
+        has_capacity && !(class == RequestClass::BeginTurn && self.exceeds_queue_delay(now))
     }
 
     /// Whether a batch enqueued now would wait too long, because of the queue's length at the current throughput
@@ -65,7 +65,7 @@
     }
 
     /// Accounts for a batch that was enqueued.
-    pub fn queued(&mut self, bytes: usize, now: Timestamp) {
+    pub fn record_enqueued(&mut self, bytes: usize, now: Timestamp) {
         if self.queue.is_empty() {
             (self.busy_since, self.written_while_busy) = (now, 0);
         }
@@ -74,7 +74,7 @@
     }
 
     /// Accounts for the oldest batch, which was written or failed; the disk processes batches in order.
-    pub fn written(&mut self, now: Timestamp) {
+    pub fn record_written(&mut self, now: Timestamp) {
         let Some((_, bytes)) = self.queue.pop_front() else { return };
         self.bytes -= bytes;
         self.written_while_busy += bytes;
@@ -94,7 +94,7 @@
     }
 
     /// Bytes in the queue.
-    pub fn waiting_bytes(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.bytes
     }
 }
--- a/crates/ledger/src/begin_quorum.rs
+++ b/crates/ledger/src/begin_quorum.rs
@@ -27,7 +27,7 @@
 pub struct BeginQuorum {
     majority: usize,
     budget_tokens: u64,
-    most_tokens: u64,
+    max_tokens: u64,
     votes: usize,
     fitting_votes: usize,
     rejecting_votes: usize,
@@ -38,11 +38,11 @@
 
 impl BeginQuorum {
     /// Creates a quorum without votes. A budget of 0 is unlimited.
-    pub fn new(majority: usize, budget_tokens: u64, most_tokens: u64) -> Self {
+    pub fn new(majority: usize, budget_tokens: u64, max_tokens: u64) -> Self {
         Self {
             majority,
             budget_tokens,
-            most_tokens,
+            max_tokens,
             votes: 0,
             fitting_votes: 0,
             rejecting_votes: 0,
@@ -107,7 +107,7 @@
             return BeginDecision::UnknownPrevious;
         }
         let fits_budget =
-            self.budget_tokens == 0 || self.counted_tokens() + self.most_tokens <= self.budget_tokens;
+            self.budget_tokens == 0 || self.counted_tokens() + self.max_tokens <= self.budget_tokens;
         if !fits_budget {
             return BeginDecision::BudgetSpent;
         }
--- a/crates/ledger/src/copy_plan.rs
+++ b/crates/ledger/src/copy_plan.rs
@@ -6,7 +6,7 @@
 
 /// For each remaining member, the turns to copy to it so that `wanted` members hold every turn. `holds` lists the turns
 /// that each member already holds. Copies are distributed over the members by a hash of the turn's name.
-pub fn copies_to_make(turns: &[String], holds: &[&BTreeSet<String>], wanted: usize) -> Vec<Vec<String>> {
+pub fn plan_copies(turns: &[String], holds: &[&BTreeSet<String>], wanted: usize) -> Vec<Vec<String>> {
     let mut copies = vec![Vec::new(); holds.len()];
     for turn in turns {
         let holders = holds.iter().filter(|held| held.contains(turn)).count();
--- a/crates/ledger/src/group.rs
+++ b/crates/ledger/src/group.rs
@@ -37,12 +37,12 @@
 
 impl Group {
     /// First version of the only group of a ledger.
-    pub fn founded(members: Vec<Member>) -> Group {
-        Self::founded_as(0, members)
+    pub fn initial(members: Vec<Member>) -> Group {
+        Self::initial_numbered(0, members)
     }
 
     /// First version of a group.
-    pub fn founded_as(number: GroupNumber, members: Vec<Member>) -> Group {
+    pub fn initial_numbered(number: GroupNumber, members: Vec<Member>) -> Group {
         let founders = members.into_iter().map(|member| Member { joined: FOUNDING_EPOCH, ..member });
         Group { number, epoch: FOUNDING_EPOCH, members: sorted_by_node(founders.collect()) }
     }
@@ -81,8 +81,8 @@
     }
 
     /// Next version of the group with a new member, which joins at its epoch. Replaces a member of the same name.
-    pub fn with(&self, member: Member) -> Group {
-        let mut next = self.without(&member.node);
+    pub fn with_member(&self, member: Member) -> Group {
+        let mut next = self.without_member(&member.node);
         next.members.push(Member { joined: next.epoch, ..member });
         next.members = sorted_by_node(next.members);
         next
@@ -90,22 +90,22 @@
 
     /// Next version of the group with a new member instead of a lost one.
     pub fn with_replacement(&self, lost: &str, replacement: Member) -> Group {
-        Group { epoch: self.epoch, ..self.without(lost) }.with(replacement)
+        Group { epoch: self.epoch, ..self.without_member(lost) }.with_member(replacement)
     }
 
     /// Next version of the group without a member.
-    pub fn without(&self, node: &str) -> Group {
+    pub fn without_member(&self, node: &str) -> Group {
         let members = self.members.iter().filter(|member| member.node != node).cloned().collect();
         Group { number: self.number, epoch: self.epoch + 1, members }
     }
 
     /// Nodes of members of an earlier version that were removed without a replacement; empty if the group did not
     /// shrink.
-    pub fn departed_since(&self, earlier: &Group) -> Vec<String> {
+    pub fn removed_since(&self, earlier: &Group) -> Vec<String> {
         let is_shrunk = self.number == earlier.number && self.members.len() < earlier.members.len();
-        let departed =
+        let removed =
             earlier.members.iter().filter(|member| is_shrunk && self.member(&member.node).is_none());
-        departed.map(|member| member.node.clone()).collect()
+        removed.map(|member| member.node.clone()).collect()
     }
 
     /// Converts the group to its wire form.
--- a/crates/ledger/src/group_map.rs
+++ b/crates/ledger/src/group_map.rs
@@ -42,8 +42,8 @@
         self.groups.get(usize::try_from(number).unwrap_or(usize::MAX))
     }
 
-    /// Group that a node is a member of.
-    pub fn seat_of(&self, node: &str) -> Option<&Arc<Group>> {
+    /// `None` if the node is a member of no group.
+    pub fn group_of_member(&self, node: &str) -> Option<&Arc<Group>> {
         self.groups.iter().find(|group| group.member(node).is_some())
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Copy of the map in which a group replaces that of the same number.
-    pub fn with(&self, group: Group) -> Self {
+    pub fn with_group(&self, group: Group) -> Self {
         let mut next = self.clone();
         let index = usize::try_from(group.number).unwrap_or(usize::MAX);
         if let Some(current) = next.groups.get_mut(index) {
@@ -64,7 +64,7 @@
 
     /// Adopts a group if it is newer than the current version. An empty map accepts only group 0. Returns whether the
     /// map changed.
-    pub fn learn(&mut self, group: impl Into<Arc<Group>>) -> bool {
+    pub fn adopt_newer(&mut self, group: impl Into<Arc<Group>>) -> bool {
         let group = group.into();
         if self.groups.is_empty() && group.number == 0 && group.epoch > 0 {
             self.groups.push(group);
@@ -86,7 +86,7 @@
             self.groups.clone_from(&other.groups);
             return true;
         }
-        let newer = other.groups.iter().filter(|group| self.learn(Arc::clone(group)));
+        let newer = other.groups.iter().filter(|group| self.adopt_newer(Arc::clone(group)));
         newer.count() > 0
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -27,17 +27,17 @@
 pub use admission::{HostAdmission, RequestClass};
 pub use begin_quorum::{BeginDecision, BeginQuorum};
 pub use chain::{ChainAssembly, ChainStep};
-pub use copy_plan::copies_to_make;
+pub use copy_plan::plan_copies;
 pub use group::{Group, GroupNumber, Member};
 pub use group_map::GroupMap;
-pub use member_watch::{MemberTold, MemberWatch};
+pub use member_watch::{MemberReport, MemberWatch};
 pub use message::{
     Begin, BeginVote, ChainReply, ChainRequest, ContentsRequest, End, GroupMapMessage, GroupMessage,
     KnownTurn, LedgerReply, LedgerRequest, MemberMessage, Page, PageRequest, Push, Reading, Record,
     RecordKind, ReplyKind, RequestKind, RetainedTurn, SilentMember, Standing, StatusReply, StoredCopy,
     TurnBegun, TurnEnded,
 };
-pub use placement::{Candidate, Capacity, ChangeReason, GroupPolicy, Patience, PlaceStep};
+pub use placement::{Candidate, Capacity, ChangeReason, GroupPolicy, MembershipDecision, ReplacementPolicy};
 pub use quota_message::{QuotaAnswer, QuotaDecision, QuotaQuestion, QuotaTotals, TenantTotalMessage};
 pub use replica::{Replica, ReplicaSettings, Step};
 pub use state::{KEPT_TURNS_CURSOR, LedgerState, PageDetail};
--- a/crates/ledger/src/member_watch.rs
+++ b/crates/ledger/src/member_watch.rs
@@ -7,7 +7,7 @@
 use sumacdrift_types::Timestamp;
 
 use crate::group::{Group, Member};
-use crate::placement::{LOST_AFTER, Patience};
+use crate::placement::{LOST_AFTER, ReplacementPolicy};
 
 /// Time without an answer after which a member is removed if no machine replaced it. Spare machines poll each second
 /// and request the replacement up to half a second after [`LOST_AFTER`], and one call to the store may be delayed.
@@ -16,12 +16,12 @@
 /// Report of a member on itself and the other members.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub struct MemberTold {
+pub struct MemberReport {
     pub is_voting: bool,
     /// Whether it is shutting down and gives up its membership.
-    pub offers_seat: bool,
+    pub offers_membership: bool,
     /// Time since the last answer of each member that does not answer it; `None` if it does not monitor the others.
-    pub silent: Option<BTreeMap<String, Duration>>,
+    pub unresponsive: Option<BTreeMap<String, Duration>>,
 }
 
 /// Status of a member after the last poll.
@@ -31,7 +31,7 @@
     answered_at: Timestamp,
     is_unresponsive: bool,
     /// Last report; empty while the member is unresponsive.
-    report: MemberTold,
+    report: MemberReport,
     /// Whether its latest message announced a planned shutdown.
     has_announced_stop: bool,
 }
@@ -39,9 +39,9 @@
 impl Observation {
     /// Time for which another member has not answered this one; `None` if it does not monitor the others.
     fn unresponsive_time_of(&self, node: &str, now: Timestamp) -> Option<Duration> {
-        let silent = self.report.silent.as_ref()?;
+        let unresponsive = self.report.unresponsive.as_ref()?;
         // The report has aged since it was received.
-        Some(silent.get(node).map(|silence| *silence + now.since(self.answered_at)).unwrap_or_default())
+        Some(unresponsive.get(node).map(|time| *time + now.since(self.answered_at)).unwrap_or_default())
     }
 }
 
@@ -53,8 +53,8 @@
 
 impl MemberWatch {
     /// Records an answer. Returns whether the member was unresponsive before.
-    pub fn answered(&mut self, node: &str, report: MemberTold, now: Timestamp) -> bool {
-        let has_announced_stop = report.offers_seat;
+    pub fn record_answer(&mut self, node: &str, report: MemberReport, now: Timestamp) -> bool {
+        let has_announced_stop = report.offers_membership;
         let observation =
             Observation { answered_at: now, is_unresponsive: false, report, has_announced_stop };
         let before = self.observations.insert(node.to_owned(), observation);
@@ -62,29 +62,29 @@
     }
 
     /// Records that a known member announced a planned shutdown.
-    pub fn stops(&mut self, node: &str) {
+    pub fn record_planned_stop(&mut self, node: &str) {
         if let Some(observation) = self.observations.get_mut(node) {
             observation.has_announced_stop = true;
         }
     }
 
     /// Records a missing answer. Returns whether it is the first in a row.
-    pub fn silent(&mut self, node: &str, now: Timestamp) -> bool {
+    pub fn record_timeout(&mut self, node: &str, now: Timestamp) -> bool {
         let unknown = Observation {
             answered_at: now,
             is_unresponsive: false,
-            report: MemberTold::default(),
+            report: MemberReport::default(),
             has_announced_stop: false,
         };
         let observation = self.observations.entry(node.to_owned()).or_insert(unknown);
         let is_first = !observation.is_unresponsive;
         observation.is_unresponsive = true;
-        observation.report = MemberTold::default();
+        observation.report = MemberReport::default();
         is_first
     }
 
     /// Removes machines that are no longer monitored.
-    pub fn keep_only(&mut self, monitored: &[&Member]) {
+    pub fn retain(&mut self, monitored: &[&Member]) {
         self.observations.retain(|node, _| monitored.iter().any(|member| member.node == *node));
     }
 
@@ -94,9 +94,9 @@
     }
 
     /// Time since the last answer of each unresponsive member.
-    pub fn silences(&self, now: Timestamp) -> BTreeMap<String, Duration> {
-        let silent = self.observations.iter().filter(|(_, observation)| observation.is_unresponsive);
-        silent.map(|(node, observation)| (node.clone(), now.since(observation.answered_at))).collect()
+    pub fn unresponsive_members(&self, now: Timestamp) -> BTreeMap<String, Duration> {
+        let unresponsive = self.observations.iter().filter(|(_, observation)| observation.is_unresponsive);
+        unresponsive.map(|(node, observation)| (node.clone(), now.since(observation.answered_at))).collect()
     }
 
     /// Members that may be replaced: they are lost, and enough voting members answer for the replacement to read all
@@ -108,19 +108,20 @@
     pub(crate) fn replaceable_members(
         &self,
         group: &Group,
-        patience: Patience,
+        replacement: ReplacementPolicy,
         now: Timestamp,
     ) -> impl Iterator<Item = String> {
         let observation = |member: &Member| self.observations.get(&member.node);
-        // A member that offers its seat is about to shut down.
-        let is_source =
-            |observation: &&Observation| observation.report.is_voting && !observation.report.offers_seat;
+        // A member that offers its membership is about to shut down.
+        let is_source = |observation: &&Observation| {
+            observation.report.is_voting && !observation.report.offers_membership
+        };
         let voting: Vec<&Observation> =
             group.members.iter().filter_map(observation).filter(is_source).collect();
         let has_enough_sources = voting.len() >= group.required_sources();
         let is_lost = move |member: &&Member| {
             let Some(own) = observation(member) else { return false };
-            if own.report.offers_seat && patience.accepts_offered_seats {
+            if own.report.offers_membership && replacement.accepts_offered_membership {
                 return true;
             }
             if !own.is_unresponsive {
@@ -130,8 +131,10 @@
                 voting.iter().filter_map(|witness| witness.unresponsive_time_of(&member.node, now));
             let own_unresponsive_time = now.since(own.answered_at);
             match reported_times.min() {
-                Some(shortest) if !is_broken(Rule::LedgerLostHasWitnesses) => shortest >= patience.lost_after,
-                Some(_) => own_unresponsive_time >= patience.lost_after,
+                Some(shortest) if !is_broken(Rule::LedgerLostHasWitnesses) => {
+                    shortest >= replacement.lost_after
+                }
+                Some(_) => own_unresponsive_time >= replacement.lost_after,
                 None => own_unresponsive_time >= LOST_AFTER,
             }
         };
@@ -171,8 +174,7 @@
         else {
             return false;
         };
-        let confirms =
-            observation.unresponsive_time_of(&lost.node, now).is_some_and(|silence| silence >= required);
+        let confirms = observation.unresponsive_time_of(&lost.node, now).is_some_and(|time| time >= required);
         observation.report.is_voting && confirms
     }
 }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -4,7 +4,7 @@
 
 use crate::quota_message::{QuotaAnswer, QuotaQuestion, QuotaTotals};
 
-/// Start of a turn. Until its end is recorded, the turn is charged with `most_tokens`.
+/// Start of a turn. Until its end is recorded, the turn is charged with `max_tokens`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 #[allow(missing_docs)]
 pub struct TurnBegun {
@@ -14,7 +14,7 @@
     pub turn: String,
     /// Maximum number of tokens that the turn may generate.
     #[prost(uint64, tag = "3")]
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Retention of the record after the program's last change, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub retention_millis: u64,
@@ -392,7 +392,7 @@
     pub next: String,
     /// Retained turns listed without their content.
     #[prost(string, repeated, tag = "3")]
-    pub kept_turns: Vec<String>,
+    pub retained_keys: Vec<String>,
 }
 
 /// State of a replica.
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -31,22 +31,22 @@
 
 /// Conditions under which a machine replaces a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct ReplacementPolicy {
     pub(crate) lost_after: Duration,
-    /// Whether the machine replaces a member that offers its seat before it shuts down.
-    pub(crate) accepts_offered_seats: bool,
+    /// Whether the machine replaces a member that offers its membership before it shuts down.
+    pub(crate) accepts_offered_membership: bool,
 }
 
-impl Patience {
+impl ReplacementPolicy {
     /// For a machine that was complete before, as a spare or a member: waits longer than most outages.
-    pub const LONG: Self = Self { lost_after: LOST_AFTER, accepts_offered_seats: false };
+    pub const FOR_EXISTING_MACHINE: Self = Self { lost_after: LOST_AFTER, accepts_offered_membership: false };
 
     /// For a machine that started empty and has to catch up within this time. Such a machine usually stands in for one
     /// that left, and until it votes the group tolerates one disk loss less.
-    pub fn of_new_machine(complete_within: Duration) -> Self {
-        let lost_after = complete_within.mul_f64(LOST_AFTER_FRACTION);
+    pub fn for_new_machine(catch_up_time: Duration) -> Self {
+        let lost_after = catch_up_time.mul_f64(LOST_AFTER_FRACTION);
         let lost_after = lost_after.clamp(MIN_LOST_AFTER, MAX_LOST_AFTER);
-        Self { lost_after, accepts_offered_seats: true }
+        Self { lost_after, accepts_offered_membership: true }
     }
 
     /// Time without an answer after which a member is considered lost.
@@ -58,9 +58,9 @@
 /// Group change that a machine should request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum PlaceStep {
+pub enum MembershipDecision {
     /// No change.
-    Stay,
+    Keep,
     /// Request that the group be replaced by its next version.
     Change {
         /// Next version of the group.
@@ -79,7 +79,7 @@
     /// The machine replaces a lost member.
     ReplacedLost,
     /// A lost member is removed without a replacement.
-    GivenUp,
+    RemovedLost,
 }
 
 impl ChangeReason {
@@ -89,7 +89,7 @@
             ChangeReason::Moved => "moved",
             ChangeReason::Joined => "joined",
             ChangeReason::ReplacedLost => "replaced a lost member",
-            ChangeReason::GivenUp => "gave up a lost member",
+            ChangeReason::RemovedLost => "gave up a lost member",
         }
     }
 }
@@ -102,7 +102,7 @@
 
     /// Same policy, tolerating the loss of a whole zone if `zones` is not 0: no zone ever holds more members of a group
     /// than the group can lose, even if the group stays below its target size.
-    pub fn surviving_zones(self, zones: usize) -> Self {
+    pub fn tolerating_zone_loss(self, zones: usize) -> Self {
         Self { tolerates_zone_loss: zones > 0, ..self }
     }
 
@@ -128,7 +128,7 @@
     /// A machine joins at most one group, which minimizes the sets of machines whose simultaneous loss would lose a
     /// record. Each group spans as many zones as possible. Machines with the least capacity are left out, and zones
     /// with the most remaining machines are used first, so that no group ends up in a single zone.
-    pub fn founding_map(self, candidates: &[Candidate]) -> GroupMap {
+    pub fn initial_group_map(self, candidates: &[Candidate]) -> GroupMap {
         let mut remaining: Vec<&Candidate> = candidates.iter().collect();
         remaining.sort_by(|one, other| one.member.node.cmp(&other.member.node));
         let maxima = Capacity::maxima_of(candidates);
@@ -141,7 +141,7 @@
             }
         }
         let groups = groups.into_iter().zip(0..);
-        GroupMap::new(groups.map(|(members, number)| Group::founded_as(number, members)).collect())
+        GroupMap::new(groups.map(|(members, number)| Group::initial_numbered(number, members)).collect())
     }
 
     /// Index of the next candidate for a group, if any may join: prefers the zone with the fewest members of the group,
@@ -162,30 +162,30 @@
     ///
     /// A group never expands to a region in which it has no member: its content may be restricted to the group's
     /// regions, and a new member reads all of it.
-    pub fn place_step(
+    pub fn decide_membership(
         self,
         places: &Places,
         map: &GroupMap,
         own: &Member,
         watch: &MemberWatch,
-        patience: Patience,
+        replacement: ReplacementPolicy,
         now: Timestamp,
-    ) -> PlaceStep {
-        let change = |group: Group, reason| PlaceStep::Change { group, reason };
-        if let Some(group) = map.seat_of(&own.node) {
+    ) -> MembershipDecision {
+        let change = |group: Group, reason| MembershipDecision::Change { group, reason };
+        if let Some(group) = map.group_of_member(&own.node) {
             let has_current_address =
                 group.member(&own.node).is_some_and(|member| member.address == own.address);
             if !has_current_address {
-                return change(group.with(own.clone()), ChangeReason::Moved);
+                return change(group.with_member(own.clone()), ChangeReason::Moved);
             }
             // Only odd groups shrink: the majority keeps its size, and any one remaining member may still lose its
             // disk.
             let is_odd = group.members.len() % 2 == 1 && group.members.len() > 1;
-            let departed =
-                watch.member_to_remove(group, &own.node, patience.lost_after, now).filter(|_| is_odd);
-            return match departed {
-                Some(departed) => change(group.without(&departed), ChangeReason::GivenUp),
-                None => PlaceStep::Stay,
+            let lost =
+                watch.member_to_remove(group, &own.node, replacement.lost_after, now).filter(|_| is_odd);
+            return match lost {
+                Some(lost) => change(group.without_member(&lost), ChangeReason::RemovedLost),
+                None => MembershipDecision::Keep,
             };
         }
         let groups_in_region = || map.groups().iter().filter(|group| shares_region(places, group, own));
@@ -198,19 +198,19 @@
         if let Some(group) =
             too_small.min_by_key(|group| (group.members.len(), members_in_zone(&group.members, own)))
         {
-            return change(group.with(own.clone()), ChangeReason::Joined);
+            return change(group.with_member(own.clone()), ChangeReason::Joined);
         }
         let lost = groups_in_region().filter_map(|group| {
             let lost = watch
-                .replaceable_members(group, patience, now)
-                .find(|lost| self.zone_has_room(&group.without(lost).members, own))?;
+                .replaceable_members(group, replacement, now)
+                .find(|lost| self.zone_has_room(&group.without_member(lost).members, own))?;
             Some((group, lost))
         });
         match lost.min_by_key(|(group, _)| members_in_zone(&group.members, own)) {
             Some((group, lost)) => {
                 change(group.with_replacement(&lost, own.clone()), ChangeReason::ReplacedLost)
             }
-            None => PlaceStep::Stay,
+            None => MembershipDecision::Keep,
         }
     }
 }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -48,7 +48,7 @@
 }
 
 impl Replica {
-    /// Creates an empty replica. Replay its journal with [`Replica::replay`], then call [`Replica::started`].
+    /// Creates an empty replica. Replay its journal with [`Replica::replay`], then call [`Replica::finish_replay`].
     pub fn new(settings: ReplicaSettings) -> Self {
         Self {
             settings,
@@ -86,7 +86,7 @@
     }
 
     /// Completes the replay; returns records to make durable.
-    pub fn started(&mut self) -> Vec<Record> {
+    pub fn finish_replay(&mut self) -> Vec<Record> {
         if self.settings.is_first_start && self.complete_join_epoch.is_none() {
             return vec![self.mark_complete(FOUNDING_EPOCH)];
         }
@@ -123,7 +123,7 @@
     /// Marks the replica as never having voted as the member that joins at `epoch`. Called before it requests
     /// membership as a new member, not as the replacement of a lost one. The returned record must be durable before the
     /// request is sent, because the change may be made even if no reply arrives.
-    pub fn join_as_new(&mut self, epoch: u64) -> Record {
+    pub fn prepare_join(&mut self, epoch: u64) -> Record {
         self.never_voted_join_epoch = Some(epoch);
         never_voted_record(epoch)
     }
@@ -222,7 +222,7 @@
             // The map is older than the replica's group.
             return None;
         }
-        if let Some(group) = map.seat_of(&self.settings.node) {
+        if let Some(group) = map.group_of_member(&self.settings.node) {
             return self.switch_group(Group::clone(group));
         }
         let has_group = self.group.epoch > 0;
@@ -241,7 +241,7 @@
     }
 
     /// Number of other members that must still be read before this replica may vote.
-    pub fn sources_left(&self) -> usize {
+    pub fn remaining_sources(&self) -> usize {
         if self.is_complete() {
             return 0;
         }
@@ -254,25 +254,25 @@
     }
 
     /// Merges another member's page; returns the records that add information, to make durable.
-    pub fn take_page(&mut self, page: Page, now: u64) -> Vec<Record> {
+    pub fn merge_page(&mut self, page: Page, now: u64) -> Vec<Record> {
         let received = page.records.into_iter().map(|record| record.with_absolute_expiry(now));
         received.filter(|record| self.state.merge(record)).collect()
     }
 
     /// Turns that a page lists without content and whose content is not stored here.
-    pub fn lacking(&self, page: &Page) -> Vec<String> {
-        page.kept_turns.iter().filter(|turn| !self.state.keeps(turn)).cloned().collect()
+    pub fn missing_contents(&self, page: &Page) -> Vec<String> {
+        page.retained_keys.iter().filter(|turn| !self.state.has_content(turn)).cloned().collect()
     }
 
     /// Marks a member as read completely at an epoch; its records must be durable. Returns the record to make durable:
     /// the catch-up progress, or the completion once enough members have been read.
-    pub fn source_read(&mut self, node: &str, epoch: u64) -> Option<Record> {
+    pub fn record_source_read(&mut self, node: &str, epoch: u64) -> Option<Record> {
         let joined = self.group.member(&self.settings.node).map(|member| member.joined)?;
         if !self.accepts_catch_up(epoch) {
             return None;
         }
         self.read_members.insert(node.to_owned());
-        Some(if self.sources_left() == 0 { self.mark_complete(joined) } else { self.reading_record() })
+        Some(if self.remaining_sources() == 0 { self.mark_complete(joined) } else { self.reading_record() })
     }
 
     /// Marks a member as never having voted, as it reported at an epoch. Returns the completion record to make durable
@@ -284,7 +284,7 @@
         }
         self.never_voted.insert(node.to_owned());
         let has_read = !self.read_members.is_empty();
-        (has_read && self.sources_left() == 0).then(|| self.mark_complete(joined))
+        (has_read && self.remaining_sources() == 0).then(|| self.mark_complete(joined))
     }
 
     fn accepts_catch_up(&self, epoch: u64) -> bool {
@@ -293,8 +293,8 @@
     }
 
     /// Stores a copy of another system's state if it is newer; returns the record to make durable.
-    pub fn keep(&mut self, copy: StoredCopy) -> Option<Record> {
-        let is_newer = self.state.keep(&copy);
+    pub fn store_copy(&mut self, copy: StoredCopy) -> Option<Record> {
+        let is_newer = self.state.store_copy(&copy);
         is_newer.then_some(Record { kind: Some(RecordKind::Copy(copy)), expiry_millis: 0 })
     }
 
@@ -336,7 +336,7 @@
 
     fn adopt(&mut self, group: Group) {
         if group.number != self.group.number && self.group.epoch > 0 {
-            self.state.forget_programs();
+            self.state.clear_programs();
             self.complete_join_epoch = None;
             self.never_voted_join_epoch = None;
             self.is_leaving = false;
@@ -404,7 +404,7 @@
     fn handle_push(&mut self, push: Push, now: u64) -> Step {
         let newer = push.group.as_ref().and_then(Group::from_message);
         let mut commit: Vec<Record> = newer.and_then(|group| self.install(group)).into_iter().collect();
-        commit.extend(self.take_page(Page { records: push.records, ..Page::default() }, now));
+        commit.extend(self.merge_page(Page { records: push.records, ..Page::default() }, now));
         Step { commit, reply: reply(ReplyKind::Done(true)) }
     }
 
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -48,17 +48,17 @@
     }
 
     /// Number of programs with an account.
-    pub fn programs(&self) -> usize {
+    pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
     /// Number of turns whose content is stored.
-    pub fn kept_turns(&self) -> usize {
+    pub fn retained_count(&self) -> usize {
         self.turns.len()
     }
 
     /// Removes all programs and turns, but not the stored copy.
-    pub fn forget_programs(&mut self) {
+    pub fn clear_programs(&mut self) {
         self.programs.clear();
         self.turns.clear();
     }
@@ -82,13 +82,13 @@
         match &record.kind {
             Some(RecordKind::Begun(turn)) => self.merge_begin(turn, record.expiry_millis),
             Some(RecordKind::Ended(turn)) => self.merge_end(turn, record.expiry_millis),
-            Some(RecordKind::Copy(copy)) => self.keep(copy),
+            Some(RecordKind::Copy(copy)) => self.store_copy(copy),
             Some(RecordKind::Group(_) | RecordKind::Standing(_) | RecordKind::Reading(_)) | None => false,
         }
     }
 
     /// Whether the content of a turn is stored.
-    pub fn keeps(&self, turn: &str) -> bool {
+    pub fn has_content(&self, turn: &str) -> bool {
         self.turns.contains_key(turn)
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Stores a copy if it is newer than the current one; returns whether it is.
-    pub fn keep(&mut self, copy: &StoredCopy) -> bool {
+    pub fn store_copy(&mut self, copy: &StoredCopy) -> bool {
         let is_newer = copy.number > self.copy.number;
         if is_newer {
             self.copy = copy.clone();
@@ -119,7 +119,7 @@
 
     fn merge_begin(&mut self, turn: &TurnBegun, expires: u64) -> bool {
         let account = self.account(&turn.program, expires);
-        account.record_begin(&turn.turn, turn.most_tokens)
+        account.record_begin(&turn.turn, turn.max_tokens)
     }
 
     fn merge_end(&mut self, turn: &TurnEnded, expires: u64) -> bool {
@@ -146,7 +146,7 @@
         let knows_previous = previous.is_empty() || self.turns.contains_key(previous);
         BeginVote {
             known: account.map(|account| account.known_except(&turn.turn)).unwrap_or_default(),
-            fits: budget_tokens == 0 || charged + turn.most_tokens <= budget_tokens,
+            fits: budget_tokens == 0 || charged + turn.max_tokens <= budget_tokens,
             knows_previous,
             chain: (wants_chain && !previous.is_empty()).then(|| self.chain(previous)),
         }
@@ -194,7 +194,7 @@
                     let begun = TurnBegun {
                         program: program.clone(),
                         turn: turn.clone(),
-                        most_tokens: turn_account.most_tokens,
+                        max_tokens: turn_account.max_tokens,
                         retention_millis: 0,
                     };
                     page.add(RecordKind::Begun(begun), remaining, 0);
@@ -271,7 +271,7 @@
     }
 
     fn add_key(&mut self, turn: &str) {
-        self.page.kept_turns.push(turn.to_owned());
+        self.page.retained_keys.push(turn.to_owned());
         self.bytes += turn.len() + KEY_OVERHEAD_BYTES;
     }
 
--- a/crates/ledger/tests/admission.rs
+++ b/crates/ledger/tests/admission.rs
@@ -36,11 +36,11 @@
         let now = Timestamp::default() + Duration::from_millis(millisecond);
         let turns = if millisecond % 4 == 0 { load_factor } else { 0 };
         for _ in 0..turns {
-            for (class, bytes) in [(RequestClass::NewWork, BEGIN_BYTES), (RequestClass::Other, END_BYTES)] {
-                if !admission.takes(class, bytes, now) {
+            for (class, bytes) in [(RequestClass::BeginTurn, BEGIN_BYTES), (RequestClass::Other, END_BYTES)] {
+                if !admission.admits(class, bytes, now) {
                     break;
                 }
-                admission.queued(bytes, now);
+                admission.record_enqueued(bytes, now);
                 disk.push_back(Batch { queued: now, remaining_bytes: bytes, class });
             }
         }
@@ -52,16 +52,16 @@
             if batch.remaining_bytes > 0 {
                 break;
             }
-            if batch.class == RequestClass::NewWork {
+            if batch.class == RequestClass::BeginTurn {
                 match now.since(batch.queued) <= CALLER_TIMEOUT {
                     true => outcome.begins_in_time += 1,
                     false => outcome.begins_late += 1,
                 }
             }
             disk.pop_front();
-            admission.written(now);
+            admission.record_written(now);
         }
-        outcome.max_queued_bytes = outcome.max_queued_bytes.max(admission.waiting_bytes());
+        outcome.max_queued_bytes = outcome.max_queued_bytes.max(admission.queued_bytes());
     }
     outcome
 }
@@ -80,21 +80,21 @@
 fn stalled_disk_rejects_new_work_and_admits_ends_up_to_the_byte_limit() {
     let mut admission = HostAdmission::new(3 * END_BYTES);
     let at = |millis| Timestamp::default() + Duration::from_millis(millis);
-    admission.queued(END_BYTES, at(0));
-    assert!(admission.takes(RequestClass::NewWork, BEGIN_BYTES, at(249)));
-    assert!(!admission.takes(RequestClass::NewWork, BEGIN_BYTES, at(250)));
-    assert!(admission.takes(RequestClass::Other, END_BYTES, at(250)));
-    admission.queued(2 * END_BYTES, at(260));
-    assert!(!admission.takes(RequestClass::Other, END_BYTES, at(270)));
-    admission.written(at(271));
-    admission.written(at(272));
-    assert!(admission.takes(RequestClass::NewWork, BEGIN_BYTES, at(280)));
+    admission.record_enqueued(END_BYTES, at(0));
+    assert!(admission.admits(RequestClass::BeginTurn, BEGIN_BYTES, at(249)));
+    assert!(!admission.admits(RequestClass::BeginTurn, BEGIN_BYTES, at(250)));
+    assert!(admission.admits(RequestClass::Other, END_BYTES, at(250)));
+    admission.record_enqueued(2 * END_BYTES, at(260));
+    assert!(!admission.admits(RequestClass::Other, END_BYTES, at(270)));
+    admission.record_written(at(271));
+    admission.record_written(at(272));
+    assert!(admission.admits(RequestClass::BeginTurn, BEGIN_BYTES, at(280)));
 }
 
 #[test]
 fn record_above_the_byte_limit_is_admitted_to_an_empty_queue() {
     let admission = HostAdmission::new(10);
-    assert!(admission.takes(RequestClass::Other, END_BYTES, Timestamp::default()));
+    assert!(admission.admits(RequestClass::Other, END_BYTES, Timestamp::default()));
 }
 
 #[test]
@@ -102,19 +102,19 @@
     let mut admission = HostAdmission::new(MAX_QUEUE_BYTES);
     let at = |millis| Timestamp::default() + Duration::from_millis(millis);
     for second in 0..10 {
-        admission.queued(BEGIN_BYTES, at(second * 1_000));
-        admission.written(at(second * 1_000 + 900));
+        admission.record_enqueued(BEGIN_BYTES, at(second * 1_000));
+        admission.record_written(at(second * 1_000 + 900));
     }
-    admission.queued(BEGIN_BYTES, at(10_000));
+    admission.record_enqueued(BEGIN_BYTES, at(10_000));
     assert!(
-        !admission.takes(RequestClass::NewWork, BEGIN_BYTES, at(10_000)),
+        !admission.admits(RequestClass::BeginTurn, BEGIN_BYTES, at(10_000)),
         "the estimated queue delay is about a second"
     );
-    admission.written(at(10_001));
+    admission.record_written(at(10_001));
     for millisecond in 1..10 {
-        admission.queued(BEGIN_BYTES, at(10_000 + 10 * millisecond));
-        admission.written(at(10_001 + 10 * millisecond));
+        admission.record_enqueued(BEGIN_BYTES, at(10_000 + 10 * millisecond));
+        admission.record_written(at(10_001 + 10 * millisecond));
     }
-    admission.queued(BEGIN_BYTES, at(10_200));
-    assert!(admission.takes(RequestClass::NewWork, BEGIN_BYTES, at(10_200)));
+    admission.record_enqueued(BEGIN_BYTES, at(10_200));
+    assert!(admission.admits(RequestClass::BeginTurn, BEGIN_BYTES, at(10_200)));
 }
--- a/crates/ledger/tests/cluster/mod.rs
+++ b/crates/ledger/tests/cluster/mod.rs
@@ -9,7 +9,7 @@
 use sumacdrift_ledger::{
     Begin, BeginDecision, BeginQuorum, Candidate, Capacity, ContentsRequest, End, Group, GroupPolicy,
     KEPT_TURNS_CURSOR, LedgerReply, LedgerRequest, Member, PageDetail, PageRequest, Push, Record, Replica,
-    ReplicaSettings, ReplyKind, RequestKind, RetainedTurn, TurnBegun, TurnEnded, copies_to_make,
+    ReplicaSettings, ReplyKind, RequestKind, RetainedTurn, TurnBegun, TurnEnded, plan_copies,
 };
 
 pub const BUDGET: u64 = 1_000;
@@ -88,7 +88,7 @@
         let nodes = ["a", "b", "c", "d", "e"].map(member);
         let candidate = |member: &Member| Candidate { member: member.clone(), capacity: Capacity::default() };
         let candidates: Vec<Candidate> = nodes[..policy.size()].iter().map(candidate).collect();
-        let group = Group::clone(&policy.founding_map(&candidates).groups()[0]);
+        let group = Group::clone(&policy.initial_group_map(&candidates).groups()[0]);
         let mut cluster = Self {
             tolerated_losses,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -121,7 +121,7 @@
         let mut replica = Replica::new(ReplicaSettings { node: node.to_owned(), is_first_start });
         disk.iter().for_each(|record| replica.replay(record));
         let mut disk = disk;
-        disk.extend(replica.started());
+        disk.extend(replica.finish_replay());
         let machine =
             Machine { replica, disk, is_up: true, blocked_by: BTreeSet::new(), read_progress: None };
         self.machines.insert(node.to_owned(), machine);
@@ -159,7 +159,7 @@
             turn: Some(TurnBegun {
                 program: program.clone(),
                 turn: turn.clone(),
-                most_tokens: MAX_TURN_TOKENS,
+                max_tokens: MAX_TURN_TOKENS,
                 retention_millis: RETENTION,
             }),
             budget_tokens: BUDGET,
@@ -345,7 +345,7 @@
             self.machine(&leaving).replica.set_leaving(false);
             return;
         }
-        let next = self.group.without(&leaving);
+        let next = self.group.without_member(&leaving);
         self.earlier_group = std::mem::replace(&mut self.group, next);
         self.leaves += 1;
         self.start_machine(&leaving, Vec::new(), false);
@@ -353,13 +353,13 @@
     }
 
     fn hand_over(&mut self, leaving: &str) -> bool {
-        let group = self.group.without(leaving);
+        let group = self.group.without_member(leaving);
         let others: Vec<String> = group.members.iter().map(|member| member.node.clone()).collect();
         let held: Vec<BTreeSet<String>> = others.iter().map(|node| self.held_turns(node)).collect();
         let mut after = String::new();
         loop {
             let page = self.machines[leaving].replica.state().page(&after, PageDetail::Keys, NOW);
-            let copies = copies_to_make(&page.kept_turns, &held.iter().collect::<Vec<_>>(), group.majority());
+            let copies = plan_copies(&page.retained_keys, &held.iter().collect::<Vec<_>>(), group.majority());
             for (node, turns) in others.iter().zip(copies) {
                 let mut records = page.records.clone();
                 records.extend(self.machines[leaving].replica.state().contents(&turns, NOW).records);
@@ -394,7 +394,7 @@
             ..LedgerRequest::default()
         };
         match self.send_request(node, request).and_then(|reply| reply.kind) {
-            Some(ReplyKind::Page(page)) => page.kept_turns.into_iter().collect(),
+            Some(ReplyKind::Page(page)) => page.retained_keys.into_iter().collect(),
             _ => BTreeSet::new(),
         }
     }
@@ -407,7 +407,7 @@
         let spares: Vec<String> =
             self.machines.keys().filter(|node| self.group.member(node).is_none()).cloned().collect();
         let Some(joining) = spares.choose(&mut self.random).cloned() else { return };
-        let next = self.group.with(member(&joining));
+        let next = self.group.with_member(member(&joining));
         // Its record is durable before the request; the change may then fail, or succeed without its knowledge.
         let is_recorded = self.random.random_bool(0.9);
         let is_applied = self.random.random_bool(0.9);
@@ -415,7 +415,7 @@
         let (epoch, open) = (next.epoch, self.open_operations());
         let machine = self.machine(&joining);
         if is_recorded {
-            machine.disk.push(machine.replica.join_as_new(epoch));
+            machine.disk.push(machine.replica.prepare_join(epoch));
         }
         if !is_applied {
             return;
@@ -481,19 +481,19 @@
             _ => return,
         };
         let next = page.next.clone();
-        let lacking = self.machines[&node].replica.lacking(&page);
-        let request = RequestKind::Contents(ContentsRequest { turns: lacking });
+        let missing = self.machines[&node].replica.missing_contents(&page);
+        let request = RequestKind::Contents(ContentsRequest { turns: missing });
         let contents = self
             .send_request(&source, LedgerRequest { epoch, kind: Some(request), ..LedgerRequest::default() });
         let Some(ReplyKind::Page(contents)) = contents.and_then(|reply| reply.kind) else { return };
         let machine = self.machine(&node);
-        let records = machine.replica.take_page(contents, NOW);
+        let records = machine.replica.merge_page(contents, NOW);
         machine.disk.extend(records);
         let machine = self.machines.get_mut(&node).expect("known machine");
-        let records = machine.replica.take_page(page, NOW);
+        let records = machine.replica.merge_page(page, NOW);
         machine.disk.extend(records);
         if next.is_empty() {
-            machine.disk.extend(machine.replica.source_read(&source, epoch));
+            machine.disk.extend(machine.replica.record_source_read(&source, epoch));
         } else {
             machine.read_progress = Some((source, next, epoch));
         }
--- a/crates/ledger/tests/group_map.rs
+++ b/crates/ledger/tests/group_map.rs
@@ -10,7 +10,7 @@
 }
 
 fn group(number: u32, nodes: [&str; 3]) -> Group {
-    Group::founded_as(number, nodes.map(member).to_vec())
+    Group::initial_numbered(number, nodes.map(member).to_vec())
 }
 
 fn two_groups() -> GroupMap {
@@ -19,21 +19,21 @@
 
 #[test]
 fn merge_keeps_newer_version_of_each_group() {
-    let newer = two_groups().groups()[1].without("e");
-    let ahead = two_groups().with(newer.clone());
+    let newer = two_groups().groups()[1].without_member("e");
+    let ahead = two_groups().with_group(newer.clone());
     let mut map = two_groups();
     assert!(map.merge(&ahead));
     assert_eq!(map.group(1).map(|group| group.epoch), Some(newer.epoch));
     assert!(!map.merge(&two_groups()));
-    assert!(!map.learn(Group::clone(&two_groups().groups()[1])));
+    assert!(!map.adopt_newer(Group::clone(&two_groups().groups()[1])));
     assert_eq!(map, ahead);
 }
 
 #[test]
-fn map_of_one_group_learns_the_others() {
+fn map_of_one_group_adopts_the_others() {
     let mut map = GroupMap::default();
-    assert!(map.learn(group(0, ["a", "b", "c"])));
-    assert!(!map.learn(group(1, ["d", "e", "f"])));
+    assert!(map.adopt_newer(group(0, ["a", "b", "c"])));
+    assert!(!map.adopt_newer(group(1, ["d", "e", "f"])));
     assert!(map.merge(&two_groups()));
     assert_eq!(map, two_groups());
 }
@@ -51,7 +51,7 @@
     let turn = TurnBegun {
         program: program.to_owned(),
         turn: "t".to_owned(),
-        most_tokens: 10,
+        max_tokens: 10,
         retention_millis: 60_000,
     };
     let begin = Begin { turn: Some(turn), budget_tokens: 100, ..Begin::default() };
@@ -65,7 +65,7 @@
 
 fn founding_replica(node: &str) -> Replica {
     let mut replica = Replica::new(ReplicaSettings { node: node.to_owned(), is_first_start: true });
-    replica.started();
+    replica.finish_replay();
     replica
 }
 
@@ -80,7 +80,7 @@
     assert!(matches!(other.reply.kind, Some(ReplyKind::NotVoting(_))));
     assert!(other.commit.is_empty());
     // Installing a version of another group does not move the replica there.
-    assert_eq!(replica.install(map.groups()[0].with(member("d"))), None);
+    assert_eq!(replica.install(map.groups()[0].with_member(member("d"))), None);
 }
 
 #[test]
@@ -90,22 +90,22 @@
     let mut replica = founding_replica("d");
     disk.extend(replica.install(Group::clone(&map.groups()[1])));
     disk.extend(replica.handle(begin(&map.groups()[1], "p"), 0).commit);
-    assert_eq!(replica.state().programs(), 1);
-    let without = map.groups()[1].without("d");
+    assert_eq!(replica.state().program_count(), 1);
+    let without = map.groups()[1].without_member("d");
     disk.extend(replica.install(without));
     // The epoch of the new group is lower than that of the old one.
-    let mut joined = map.groups()[0].with(member("d"));
+    let mut joined = map.groups()[0].with_member(member("d"));
     joined.epoch = 1;
     disk.extend(replica.switch_group(joined.clone()));
     assert!(!replica.is_voting());
-    assert_eq!((replica.group().number, replica.state().programs()), (0, 0));
+    assert_eq!((replica.group().number, replica.state().program_count()), (0, 0));
     let answer = replica.handle(begin(&joined, "q"), 0);
     assert!(matches!(answer.reply.kind, Some(ReplyKind::NotVoting(_))));
     // The same after a restart.
     let mut restarted = Replica::new(ReplicaSettings { node: "d".to_owned(), is_first_start: false });
     disk.iter().for_each(|record| restarted.replay(record));
     assert!(!restarted.is_voting());
-    assert_eq!((restarted.group().number, restarted.state().programs()), (0, 0));
+    assert_eq!((restarted.group().number, restarted.state().program_count()), (0, 0));
 }
 
 #[test]
@@ -119,11 +119,11 @@
 }
 
 #[test]
-fn machine_without_seat_follows_no_group() {
+fn machine_without_membership_follows_no_group() {
     let mut replica = founding_replica("spare");
     assert_eq!(replica.follow_map(&two_groups()), None);
     assert_eq!(replica.group().epoch, 0);
-    let joined = two_groups().with(two_groups().groups()[1].with(member("spare")));
+    let joined = two_groups().with_group(two_groups().groups()[1].with_member(member("spare")));
     replica.follow_map(&joined).expect("group record");
     assert_eq!(replica.group().number, 1);
     assert!(!replica.is_voting(), "has a vote before reading any member");
@@ -133,7 +133,7 @@
 fn replica_follows_map_that_removed_it_and_ignores_older_map() {
     let mut replica = founding_replica("d");
     replica.follow_map(&two_groups());
-    let without = two_groups().with(two_groups().groups()[1].without("d"));
+    let without = two_groups().with_group(two_groups().groups()[1].without_member("d"));
     replica.follow_map(&without).expect("group record");
     assert!(!replica.is_member());
     assert_eq!(replica.follow_map(&two_groups()), None);
--- a/crates/ledger/tests/mutants.rs
+++ b/crates/ledger/tests/mutants.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 
 use cluster::Cluster;
-use sumacdrift_ledger::{Group, GroupMap, GroupPolicy, Member, MemberWatch, Patience, PlaceStep};
+use sumacdrift_ledger::{
+    Group, GroupMap, GroupPolicy, Member, MemberWatch, MembershipDecision, ReplacementPolicy,
+};
 use sumacdrift_mutants::{Rule, with_broken};
 use sumacdrift_types::{Places, RegionName, Timestamp};
 
@@ -40,11 +42,17 @@
         zone: zone.to_owned(),
         joined: 0,
     };
-    let map = GroupMap::new(vec![Group::founded(vec![member("a", "z1")])]);
+    let map = GroupMap::new(vec![Group::initial(vec![member("a", "z1")])]);
     let (policy, watch) = (GroupPolicy::tolerating(1), MemberWatch::default());
-    let step =
-        policy.place_step(&places, &map, &member("b", "z2"), &watch, Patience::LONG, Timestamp::default());
-    step != PlaceStep::Stay
+    let step = policy.decide_membership(
+        &places,
+        &map,
+        &member("b", "z2"),
+        &watch,
+        ReplacementPolicy::FOR_EXISTING_MACHINE,
+        Timestamp::default(),
+    );
+    step != MembershipDecision::Keep
 }
 
 #[test]
--- a/crates/ledger/tests/partial_partition/mod.rs
+++ b/crates/ledger/tests/partial_partition/mod.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sumacdrift_ledger::{Group, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch, Patience, PlaceStep};
+use sumacdrift_ledger::{
+    Group, GroupMap, GroupPolicy, Member, MemberReport, MemberWatch, MembershipDecision, ReplacementPolicy,
+};
 use sumacdrift_types::{Places, Timestamp};
 
 pub fn member(node: &str) -> Member {
@@ -11,26 +13,32 @@
 }
 
 /// Report of a voting member that has had no answer from these members for so many milliseconds.
-pub fn report(silent: &[(&str, u64)]) -> MemberTold {
-    let silent = silent.iter().map(|(node, millis)| ((*node).to_owned(), Duration::from_millis(*millis)));
-    let silent = Some(silent.collect::<BTreeMap<_, _>>());
-    MemberTold { is_voting: true, silent, ..MemberTold::default() }
+pub fn report(silent: &[(&str, u64)]) -> MemberReport {
+    let unresponsive =
+        silent.iter().map(|(node, millis)| ((*node).to_owned(), Duration::from_millis(*millis)));
+    let unresponsive = Some(unresponsive.collect::<BTreeMap<_, _>>());
+    MemberReport { is_voting: true, unresponsive, ..MemberReport::default() }
 }
 
-/// Decision of a machine without a seat, given a group of `a`, `b` and `c`.
-pub fn place_step(watch: &MemberWatch, patience: Patience, now: Timestamp) -> PlaceStep {
-    let map = GroupMap::new(vec![Group::founded(["a", "b", "c"].map(member).to_vec())]);
+/// Decision of a machine that is in no group, given a group of `a`, `b` and `c`.
+pub fn decide_membership(
+    watch: &MemberWatch,
+    replacement: ReplacementPolicy,
+    now: Timestamp,
+) -> MembershipDecision {
+    let map = GroupMap::new(vec![Group::initial(["a", "b", "c"].map(member).to_vec())]);
     let policy = GroupPolicy::tolerating(1);
-    policy.place_step(&Places::default(), &map, &member("new"), watch, patience, now)
+    policy.decide_membership(&Places::default(), &map, &member("new"), watch, replacement, now)
 }
 
 /// Whether a machine that cannot reach `c`, unlike the other members, replaces it.
 pub fn replaces_member_reachable_by_others() -> bool {
     let at = |seconds: u64| Timestamp::default() + Duration::from_secs(seconds);
     let mut watch = MemberWatch::default();
-    watch.silent("c", at(0));
+    watch.record_timeout("c", at(0));
     for node in ["a", "b"] {
-        watch.answered(node, report(&[]), at(60));
+        watch.record_answer(node, report(&[]), at(60));
     }
-    place_step(&watch, Patience::of_new_machine(Duration::from_secs(4)), at(60)) != PlaceStep::Stay
+    decide_membership(&watch, ReplacementPolicy::for_new_machine(Duration::from_secs(4)), at(60))
+        != MembershipDecision::Keep
 }
--- a/crates/ledger/tests/placement.rs
+++ b/crates/ledger/tests/placement.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sumacdrift_ledger::{
-    Candidate, Capacity, ChangeReason, Group, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch,
-    Patience, PlaceStep,
+    Candidate, Capacity, ChangeReason, Group, GroupMap, GroupPolicy, Member, MemberReport, MemberWatch,
+    MembershipDecision, ReplacementPolicy,
 };
 use sumacdrift_types::{Places, RegionName, Timestamp};
 
@@ -23,8 +23,8 @@
 }
 
 /// Report of a member that does not monitor the others.
-fn report(is_voting: bool) -> MemberTold {
-    MemberTold { is_voting, ..MemberTold::default() }
+fn report(is_voting: bool) -> MemberReport {
+    MemberReport { is_voting, ..MemberReport::default() }
 }
 
 fn candidate(node: &str, zone: &str, memory_megabytes: f64) -> Candidate {
@@ -37,7 +37,7 @@
 }
 
 fn group_of_five() -> Group {
-    Group::founded(["a", "b", "c", "d", "e"].map(|node| member(node, "z")).to_vec())
+    Group::initial(["a", "b", "c", "d", "e"].map(|node| member(node, "z")).to_vec())
 }
 
 #[test]
@@ -53,14 +53,14 @@
 }
 
 #[test]
-fn founders_are_spread_over_zones() {
+fn initial_members_are_spread_over_zones() {
     let candidates =
         [("a1", "a"), ("a2", "a"), ("a3", "a"), ("b1", "b"), ("b2", "b"), ("c1", "c"), ("c2", "c")];
     let candidates = candidates.map(|(node, zone)| candidate(node, zone, 1.0));
-    let map = GroupPolicy::tolerating(2).founding_map(&candidates);
+    let map = GroupPolicy::tolerating(2).initial_group_map(&candidates);
     assert_eq!(map.groups().len(), 1);
     assert_eq!(names(&map.groups()[0]), ["a1", "a2", "b1", "b2", "c1"]);
-    let few = GroupPolicy::tolerating(2).founding_map(&[candidates[0].clone(), candidates[3].clone()]);
+    let few = GroupPolicy::tolerating(2).initial_group_map(&[candidates[0].clone(), candidates[3].clone()]);
     assert_eq!(names(&few.groups()[0]), ["a1", "b1"]);
 }
 
@@ -68,27 +68,27 @@
 fn machine_joins_undersized_group() {
     let policy = GroupPolicy::tolerating(2);
     let watch = MemberWatch::default();
-    let small = group_of_five().without("c");
-    let step = policy.place_step(
+    let small = group_of_five().without_member("c");
+    let step = policy.decide_membership(
         &Places::default(),
         &single_group(small),
         &member("f", "z"),
         &watch,
-        Patience::LONG,
+        ReplacementPolicy::FOR_EXISTING_MACHINE,
         at(0),
     );
-    let PlaceStep::Change { group, reason: ChangeReason::Joined } = step else { panic!("{step:?}") };
+    let MembershipDecision::Change { group, reason: ChangeReason::Joined } = step else { panic!("{step:?}") };
     assert_eq!(names(&group), ["a", "b", "d", "e", "f"]);
     assert_eq!(
-        policy.place_step(
+        policy.decide_membership(
             &Places::default(),
             &single_group(group_of_five()),
             &member("f", "z"),
             &watch,
-            Patience::LONG,
+            ReplacementPolicy::FOR_EXISTING_MACHINE,
             at(0)
         ),
-        PlaceStep::Stay
+        MembershipDecision::Keep
     );
 }
 
@@ -96,15 +96,15 @@
 fn machine_with_new_address_updates_its_member() {
     let mut moved = member("c", "z");
     moved.address = ([127, 0, 0, 2], 1).into();
-    let step = GroupPolicy::tolerating(2).place_step(
+    let step = GroupPolicy::tolerating(2).decide_membership(
         &Places::default(),
         &single_group(group_of_five()),
         &moved,
         &MemberWatch::default(),
-        Patience::LONG,
+        ReplacementPolicy::FOR_EXISTING_MACHINE,
         at(0),
     );
-    let PlaceStep::Change { group, reason: ChangeReason::Moved } = step else { panic!("{step:?}") };
+    let MembershipDecision::Change { group, reason: ChangeReason::Moved } = step else { panic!("{step:?}") };
     assert_eq!(group.member("c").map(|member| member.address), Some(moved.address));
     assert_eq!(group.epoch, 2);
 }
@@ -114,28 +114,28 @@
     let policy = GroupPolicy::tolerating(2);
     let mut watch = MemberWatch::default();
     for node in ["a", "b", "c", "d", "e"] {
-        watch.answered(node, report(true), at(0));
+        watch.record_answer(node, report(true), at(0));
     }
     let own = member("f", "z");
     for second in 1..=7 {
         for node in ["a", "b", "c"] {
-            watch.answered(node, report(true), at(second * 1_000));
+            watch.record_answer(node, report(true), at(second * 1_000));
         }
-        watch.silent("d", at(second * 1_000));
-        watch.silent("e", at(second * 1_000));
-        let step = policy.place_step(
+        watch.record_timeout("d", at(second * 1_000));
+        watch.record_timeout("e", at(second * 1_000));
+        let step = policy.decide_membership(
             &Places::default(),
             &single_group(group_of_five()),
             &own,
             &watch,
-            Patience::LONG,
+            ReplacementPolicy::FOR_EXISTING_MACHINE,
             at(second * 1_000),
         );
         if second < 6 {
-            assert_eq!(step, PlaceStep::Stay, "after {second} s");
+            assert_eq!(step, MembershipDecision::Keep, "after {second} s");
             continue;
         }
-        let PlaceStep::Change { group, reason: ChangeReason::ReplacedLost } = step else {
+        let MembershipDecision::Change { group, reason: ChangeReason::ReplacedLost } = step else {
             panic!("{step:?} after {second} s")
         };
         assert_eq!(names(&group), ["a", "b", "c", "e", "f"]);
@@ -147,24 +147,24 @@
     let policy = GroupPolicy::tolerating(2);
     let mut watch = MemberWatch::default();
     for node in ["a", "b", "c", "d", "e"] {
-        watch.answered(node, report(true), at(0));
+        watch.record_answer(node, report(true), at(0));
     }
     // Two members lost their disks and have no vote yet, so a replacement could not read enough members.
-    watch.answered("a", report(false), at(9_000));
-    watch.answered("b", report(false), at(9_000));
-    watch.answered("c", report(true), at(9_000));
-    watch.answered("d", report(true), at(9_000));
-    watch.silent("e", at(9_000));
+    watch.record_answer("a", report(false), at(9_000));
+    watch.record_answer("b", report(false), at(9_000));
+    watch.record_answer("c", report(true), at(9_000));
+    watch.record_answer("d", report(true), at(9_000));
+    watch.record_timeout("e", at(9_000));
     assert_eq!(
-        policy.place_step(
+        policy.decide_membership(
             &Places::default(),
             &single_group(group_of_five()),
             &member("f", "z"),
             &watch,
-            Patience::LONG,
+            ReplacementPolicy::FOR_EXISTING_MACHINE,
             at(9_000)
         ),
-        PlaceStep::Stay
+        MembershipDecision::Keep
     );
 }
 
@@ -189,10 +189,10 @@
         (1, vec![10, 10], 6),
     ] {
         let policy = GroupPolicy::tolerating(losses);
-        let map = policy.founding_map(&candidates_in_zones(&zones));
+        let map = policy.initial_group_map(&candidates_in_zones(&zones));
         assert_eq!(map.groups().len(), groups, "{zones:?}");
         let nodes: BTreeSet<&str> = map.members().map(|member| member.node.as_str()).collect();
-        assert_eq!(nodes.len(), groups * policy.size(), "a machine has one seat: {zones:?}");
+        assert_eq!(nodes.len(), groups * policy.size(), "a machine is a member of one group: {zones:?}");
         for group in map.groups() {
             let group_zones: BTreeSet<&str> =
                 group.members.iter().map(|member| member.zone.as_str()).collect();
@@ -207,15 +207,15 @@
     for weak in [0, 5] {
         machines[weak].capacity.memory_megabytes = 0.2;
     }
-    let map = GroupPolicy::tolerating(2).founding_map(&machines);
+    let map = GroupPolicy::tolerating(2).initial_group_map(&machines);
     for weak in [0, 5] {
-        assert_eq!(map.seat_of(&machines[weak].member.node), None);
+        assert_eq!(map.group_of_member(&machines[weak].member.node), None);
     }
 }
 
 #[test]
 fn programs_are_spread_evenly_over_groups() {
-    let map = GroupPolicy::tolerating(2).founding_map(&candidates_in_zones(&[6, 5, 5, 5, 5, 5, 5]));
+    let map = GroupPolicy::tolerating(2).initial_group_map(&candidates_in_zones(&[6, 5, 5, 5, 5, 5, 5]));
     let mut counts = vec![0_usize; map.groups().len()];
     for program in 0..6_000 {
         let group = map.group_of(&format!("program-{program}")).expect("map has groups");
@@ -227,32 +227,41 @@
 #[test]
 fn spare_joins_undersized_group_and_replaces_lost_member_in_any_group() {
     let policy = GroupPolicy::tolerating(1);
-    let map = policy.founding_map(&candidates_in_zones(&[3, 3, 3]));
+    let map = policy.initial_group_map(&candidates_in_zones(&[3, 3, 3]));
     assert_eq!(map.groups().len(), 2);
     let spare = member("spare", "z0");
-    let shrunk = map.groups()[1].without(&map.groups()[1].members[0].node);
-    let step = policy.place_step(
+    let shrunk = map.groups()[1].without_member(&map.groups()[1].members[0].node);
+    let step = policy.decide_membership(
         &Places::default(),
-        &map.with(shrunk),
+        &map.with_group(shrunk),
         &spare,
         &MemberWatch::default(),
-        Patience::LONG,
+        ReplacementPolicy::FOR_EXISTING_MACHINE,
         at(0),
     );
-    let PlaceStep::Change { group, reason: ChangeReason::Joined } = step else { panic!("{step:?}") };
+    let MembershipDecision::Change { group, reason: ChangeReason::Joined } = step else { panic!("{step:?}") };
     assert_eq!((group.number, group.members.len()), (1, 3));
     let mut watch = MemberWatch::default();
     let lost = map.groups()[1].members[2].node.clone();
     for second in 0..=7 {
         for member in map.members() {
             let _has_changed = match member.node == lost && second > 0 {
-                true => watch.silent(&member.node, at(second * 1_000)),
-                false => watch.answered(&member.node, report(true), at(second * 1_000)),
+                true => watch.record_timeout(&member.node, at(second * 1_000)),
+                false => watch.record_answer(&member.node, report(true), at(second * 1_000)),
             };
         }
     }
-    let step = policy.place_step(&Places::default(), &map, &spare, &watch, Patience::LONG, at(7_000));
-    let PlaceStep::Change { group, reason: ChangeReason::ReplacedLost } = step else { panic!("{step:?}") };
+    let step = policy.decide_membership(
+        &Places::default(),
+        &map,
+        &spare,
+        &watch,
+        ReplacementPolicy::FOR_EXISTING_MACHINE,
+        at(7_000),
+    );
+    let MembershipDecision::Change { group, reason: ChangeReason::ReplacedLost } = step else {
+        panic!("{step:?}")
+    };
     assert_eq!(group.number, 1);
     assert!(group.member(&lost).is_none() && group.member("spare").is_some());
 }
@@ -268,20 +277,20 @@
     let policy = GroupPolicy::tolerating(2);
     let places = two_regions();
     let watch = MemberWatch::default();
-    let small = Group::founded(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
+    let small = Group::initial(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
     let step = |zone: &str| {
-        policy.place_step(
+        policy.decide_membership(
             &places,
             &single_group(small.clone()),
             &member("f", zone),
             &watch,
-            Patience::LONG,
+            ReplacementPolicy::FOR_EXISTING_MACHINE,
             at(0),
         )
     };
-    assert_eq!(step("b1"), PlaceStep::Stay);
-    assert_eq!(step("unknown"), PlaceStep::Stay);
-    let PlaceStep::Change { group, .. } = step("a2") else { panic!("{:?}", step("a2")) };
+    assert_eq!(step("b1"), MembershipDecision::Keep);
+    assert_eq!(step("unknown"), MembershipDecision::Keep);
+    let MembershipDecision::Change { group, .. } = step("a2") else { panic!("{:?}", step("a2")) };
     assert_eq!(names(&group), ["a", "b", "c", "f"]);
 }
 
@@ -289,26 +298,26 @@
 fn lost_member_is_not_replaced_from_another_region() {
     let policy = GroupPolicy::tolerating(1);
     let places = two_regions();
-    let group = Group::founded(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
+    let group = Group::initial(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
     let mut watch = MemberWatch::default();
     for (node, is_lost) in [("a", true), ("b", false), ("c", false)] {
-        watch.answered(node, report(true), at(0));
+        watch.record_answer(node, report(true), at(0));
         if is_lost {
-            watch.silent(node, at(1));
+            watch.record_timeout(node, at(1));
         } else {
-            watch.answered(node, report(true), at(60_000));
+            watch.record_answer(node, report(true), at(60_000));
         }
     }
     let step = |zone: &str| {
-        policy.place_step(
+        policy.decide_membership(
             &places,
             &single_group(group.clone()),
             &member("f", zone),
             &watch,
-            Patience::LONG,
+            ReplacementPolicy::FOR_EXISTING_MACHINE,
             at(60_000),
         )
     };
-    assert_eq!(step("b1"), PlaceStep::Stay);
-    assert!(matches!(step("a2"), PlaceStep::Change { reason: ChangeReason::ReplacedLost, .. }));
+    assert_eq!(step("b1"), MembershipDecision::Keep);
+    assert!(matches!(step("a2"), MembershipDecision::Change { reason: ChangeReason::ReplacedLost, .. }));
 }
--- a/crates/ledger/tests/recorded_forms/main.rs
+++ b/crates/ledger/tests/recorded_forms/main.rs
@@ -221,7 +221,7 @@
     }
     assert!(replica.is_voting());
     assert_eq!((replica.group().epoch, replica.group().number), (5, 0));
-    assert_eq!((replica.state().programs(), replica.state().kept_turns()), (1, 1));
+    assert_eq!((replica.state().program_count(), replica.state().retained_count()), (1, 1));
 }
 
 /// Guards against a downgrade that stops at a record of a newer build.
@@ -231,7 +231,7 @@
     let (_, known) = full::records().swap_remove(0);
     replica.replay(&Record { kind: None, expiry_millis: 1000 });
     replica.replay(&known);
-    assert_eq!(replica.state().programs(), 1);
+    assert_eq!(replica.state().program_count(), 1);
 }
 
 /// Nodes of different builds must agree on the group of a program.
--- a/crates/ledger/tests/recorded_forms/samples.rs
+++ b/crates/ledger/tests/recorded_forms/samples.rs
@@ -19,7 +19,7 @@
     TurnBegun {
         program: text("program-1"),
         turn: text("turn-2"),
-        most_tokens: 4096,
+        max_tokens: 4096,
         retention_millis: 600_000,
     }
 }
@@ -110,9 +110,9 @@
     })
 }
 
-fn page(kept_turns: Vec<String>) -> ReplyKind {
+fn page(retained_keys: Vec<String>) -> ReplyKind {
     let records = vec![record(RecordKind::Ended(turn_ended()))];
-    ReplyKind::Page(Page { records, next: text("tturn-1"), kept_turns })
+    ReplyKind::Page(Page { records, next: text("tturn-1"), retained_keys })
 }
 
 /// Status with only the fields of the first build.
--- a/crates/ledger/tests/replica.rs
+++ b/crates/ledger/tests/replica.rs
@@ -6,7 +6,7 @@
 use sumacdrift_ledger::{
     Begin, BeginDecision, BeginQuorum, BeginVote, ChainAssembly, ChainReply, ChainStep, End, Group,
     KnownTurn, LedgerRequest, LedgerState, Member, PageDetail, PageRequest, Record, Replica, ReplicaSettings,
-    ReplyKind, RequestKind, RetainedTurn, TurnBegun, TurnEnded, copies_to_make,
+    ReplyKind, RequestKind, RetainedTurn, TurnBegun, TurnEnded, plan_copies,
 };
 
 const NOW: u64 = 1_000;
@@ -21,12 +21,12 @@
 
 fn replica(node: &str, is_first_start: bool) -> Replica {
     let mut replica = Replica::new(ReplicaSettings { node: node.to_owned(), is_first_start });
-    replica.started();
+    replica.finish_replay();
     replica
 }
 
 fn begun(turn: &str) -> TurnBegun {
-    TurnBegun { program: "p".to_owned(), turn: turn.to_owned(), most_tokens: 100, retention_millis: 60_000 }
+    TurnBegun { program: "p".to_owned(), turn: turn.to_owned(), max_tokens: 100, retention_millis: 60_000 }
 }
 
 fn ended(turn: &str, tokens: u64) -> TurnEnded {
@@ -63,7 +63,7 @@
     let mut wiped = replica("a", false);
     wiped.install(founders);
     assert!(matches!(begin(&mut wiped, 1, "t"), Some(ReplyKind::NotVoting(_))));
-    assert_eq!(wiped.sources_left(), 2);
+    assert_eq!(wiped.remaining_sources(), 2);
 }
 
 #[test]
@@ -72,9 +72,9 @@
     spare.install(group(1, &[("a", 1), ("b", 1), ("c", 1)]));
     spare.install(group(2, &[("a", 1), ("b", 1), ("d", 2)]));
     assert!(!spare.is_voting());
-    assert!(spare.source_read("a", 2).is_some());
+    assert!(spare.record_source_read("a", 2).is_some());
     assert!(!spare.is_voting());
-    assert!(spare.source_read("b", 2).is_some());
+    assert!(spare.record_source_read("b", 2).is_some());
     assert!(spare.is_voting());
 }
 
@@ -82,13 +82,13 @@
 fn reads_of_earlier_epoch_are_discarded() {
     let mut joining = replica("d", false);
     joining.install(group(2, &[("a", 1), ("b", 1), ("d", 2)]));
-    assert!(joining.source_read("a", 2).is_some());
+    assert!(joining.record_source_read("a", 2).is_some());
     assert!(!joining.is_voting());
     joining.install(group(3, &[("a", 1), ("c", 3), ("d", 2)]));
-    assert!(joining.source_read("b", 2).is_none());
-    assert!(joining.source_read("a", 3).is_some());
+    assert!(joining.record_source_read("b", 2).is_none());
+    assert!(joining.record_source_read("a", 3).is_some());
     assert!(!joining.is_voting());
-    assert!(joining.source_read("c", 3).is_some());
+    assert!(joining.record_source_read("c", 3).is_some());
     assert!(joining.is_voting());
 }
 
@@ -228,7 +228,7 @@
     let mut state = LedgerState::default();
     state.begin(&begun("one"), NOW);
     state.expire(NOW + 60_000);
-    assert_eq!(state.programs(), 1);
+    assert_eq!(state.program_count(), 1);
     state.expire(NOW + 120_001);
     assert!(state.is_empty());
 }
@@ -238,7 +238,7 @@
     let mut replica = replica("a", false);
     let mut store_copy = |number: u64, text: &'static str| {
         let copy = sumacdrift_ledger::StoredCopy { number, content: Bytes::from_static(text.as_bytes()) };
-        replica.keep(copy).into_iter().count()
+        replica.store_copy(copy).into_iter().count()
     };
     assert_eq!((store_copy(5, "five"), store_copy(4, "four"), store_copy(5, "other")), (1, 0, 0));
     assert_eq!(&replica.state().copy().content[..], b"five");
@@ -266,12 +266,12 @@
 #[test]
 fn member_that_never_voted_does_not_block_catch_up() {
     let (mut joining, mut wiped) = joining_and_wiped();
-    joining.join_as_new(3);
-    assert_eq!((joining.sources_left(), wiped.sources_left()), (1, 2));
+    joining.prepare_join(3);
+    assert_eq!((joining.remaining_sources(), wiped.remaining_sources()), (1, 2));
     assert!(matches!(first_page(&mut joining, 3), Some(ReplyKind::NeverVoted(_))));
     assert!(wiped.source_never_voted("d", 3).is_none());
-    wiped.source_read("a", 3);
-    joining.source_read("a", 3);
+    wiped.record_source_read("a", 3);
+    joining.record_source_read("a", 3);
     assert!(wiped.is_voting() && joining.is_voting());
     // It votes now, so it no longer reports that it never did.
     assert!(matches!(first_page(&mut joining, 3), Some(ReplyKind::Page(_))));
@@ -281,9 +281,9 @@
 fn member_reports_never_voted_only_if_certain() {
     let (mut joining, _) = joining_and_wiped();
     assert!(matches!(first_page(&mut joining, 3), Some(ReplyKind::NotVoting(_))));
-    assert_eq!(joining.sources_left(), 2);
+    assert_eq!(joining.remaining_sources(), 2);
     // The record applies only to the membership of its epoch.
-    joining.join_as_new(3);
+    joining.prepare_join(3);
     joining.install(group(5, &[("a", 1), ("c", 1), ("d", 5)]));
     assert!(matches!(first_page(&mut joining, 5), Some(ReplyKind::NotVoting(_))));
 }
@@ -292,7 +292,7 @@
 fn never_voted_survives_restart() {
     let joined = group(3, &[("a", 1), ("c", 1), ("d", 3)]);
     let mut joining = replica("d", false);
-    let records = [joining.install(joined).expect("group record"), joining.join_as_new(3)];
+    let records = [joining.install(joined).expect("group record"), joining.prepare_join(3)];
     let settings = ReplicaSettings { node: "d".to_owned(), is_first_start: false };
     let mut restarted = Replica::new(settings);
     records.iter().for_each(|record| restarted.replay(record));
@@ -303,14 +303,14 @@
 fn restarted(node: &str, records: &[Record]) -> Replica {
     let mut restarted = Replica::new(ReplicaSettings { node: node.to_owned(), is_first_start: false });
     records.iter().for_each(|record| restarted.replay(record));
-    restarted.started();
+    restarted.finish_replay();
     restarted
 }
 
 #[test]
 fn never_voted_survives_snapshot() {
     let mut joining = replica("d", false);
-    joining.join_as_new(3);
+    joining.prepare_join(3);
     joining.install(group(3, &[("a", 1), ("c", 1), ("d", 3)]));
     let mut restarted = restarted("d", &joining.snapshot(NOW));
     assert!(matches!(first_page(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
@@ -320,7 +320,7 @@
 fn never_voted_is_recorded_before_join_is_confirmed() {
     let mut joining = replica("d", false);
     // The change was requested and applied, but the reply was lost.
-    let records = [joining.join_as_new(3)];
+    let records = [joining.prepare_join(3)];
     let mut restarted = restarted("d", &records);
     restarted.install(group(3, &[("a", 1), ("c", 1), ("d", 3)]));
     assert!(matches!(first_page(&mut restarted, 3), Some(ReplyKind::NeverVoted(_))));
@@ -335,11 +335,11 @@
     let group = group(2, &[("a", 1), ("b", 1), ("d", 2)]);
     let mut joining = replica("d", false);
     let mut records = vec![joining.install(group.clone()).expect("group record")];
-    records.extend(joining.source_read("a", 2));
+    records.extend(joining.record_source_read("a", 2));
     assert!(!joining.is_voting());
     let mut restarted = restarted("d", &records);
-    assert_eq!(restarted.sources_left(), 1);
-    assert!(restarted.source_read("b", 2).is_some());
+    assert_eq!(restarted.remaining_sources(), 1);
+    assert!(restarted.record_source_read("b", 2).is_some());
     assert!(restarted.is_voting());
 }
 
@@ -347,9 +347,9 @@
 fn reads_of_earlier_epoch_are_discarded_on_restart() {
     let mut joining = replica("d", false);
     let mut records = vec![joining.install(group(2, &[("a", 1), ("b", 1), ("d", 2)])).expect("group record")];
-    records.extend(joining.source_read("a", 2));
+    records.extend(joining.record_source_read("a", 2));
     records.extend(joining.install(group(3, &[("a", 1), ("d", 2), ("e", 3)])));
-    assert_eq!(restarted("d", &records).sources_left(), 2);
+    assert_eq!(restarted("d", &records).remaining_sources(), 2);
 }
 
 #[test]
@@ -382,15 +382,15 @@
     let mut wiped = replica("c", false);
     wiped.install(group(1, &[("a", 1), ("b", 1), ("c", 1)]));
     let whole = sources[0].state().page("", PageDetail::Whole, NOW);
-    assert_eq!(wiped.take_page(whole, NOW).len(), 2);
+    assert_eq!(wiped.merge_page(whole, NOW).len(), 2);
     let keys = sources[1].state().page("", PageDetail::Keys, NOW);
-    assert_eq!(keys.kept_turns, ["t1", "t3"]);
-    assert_eq!(wiped.lacking(&keys), ["t3"]);
-    let contents = sources[1].state().contents(&wiped.lacking(&keys), NOW);
-    assert_eq!(wiped.take_page(contents, NOW).len(), 1);
+    assert_eq!(keys.retained_keys, ["t1", "t3"]);
+    assert_eq!(wiped.missing_contents(&keys), ["t3"]);
+    let contents = sources[1].state().contents(&wiped.missing_contents(&keys), NOW);
+    assert_eq!(wiped.merge_page(contents, NOW).len(), 1);
     // The page itself adds nothing, so that nothing is written to the journal again.
-    assert!(wiped.take_page(keys, NOW).is_empty());
-    assert_eq!(wiped.state().kept_turns(), 3);
+    assert!(wiped.merge_page(keys, NOW).is_empty());
+    assert_eq!(wiped.state().retained_count(), 3);
 }
 
 #[test]
@@ -398,11 +398,11 @@
     let held = |turns: &[&str]| turns.iter().map(|turn| (*turn).to_owned()).collect::<BTreeSet<String>>();
     let holds = [held(&["t1", "t2"]), held(&["t1"]), held(&["t1"]), held(&[])];
     let turns = ["t1", "t2", "t3"].map(str::to_owned);
-    let copies = copies_to_make(&turns, &holds.iter().collect::<Vec<_>>(), 3);
+    let copies = plan_copies(&turns, &holds.iter().collect::<Vec<_>>(), 3);
     for (turn, wanted) in [("t1", 0), ("t2", 2), ("t3", 3)] {
         let copied = copies.iter().filter(|turns| turns.iter().any(|copied| copied == turn)).count();
         assert_eq!(copied, wanted, "{turn}");
     }
     assert!(!copies[0].contains(&"t2".to_owned()));
-    assert!(copies_to_make(&turns, &[], 2).is_empty());
+    assert!(plan_copies(&turns, &[], 2).is_empty());
 }
--- a/crates/ledger/tests/zone_simulation/mod.rs
+++ b/crates/ledger/tests/zone_simulation/mod.rs
@@ -7,7 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_ledger::{
-    Candidate, Capacity, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch, Patience, PlaceStep,
+    Candidate, Capacity, GroupMap, GroupPolicy, Member, MemberReport, MemberWatch, MembershipDecision,
+    ReplacementPolicy,
 };
 use sumacdrift_types::{Places, Timestamp};
 
@@ -51,10 +52,10 @@
                 machines.push(machine(machines.len(), zone));
             }
         }
-        let policy = GroupPolicy::tolerating(losses).surviving_zones(1);
+        let policy = GroupPolicy::tolerating(losses).tolerating_zone_loss(1);
         let candidate = |member: &Member| Candidate { member: member.clone(), capacity: Capacity::default() };
         let candidates: Vec<Candidate> = machines.iter().map(candidate).collect();
-        let map = policy.founding_map(&candidates);
+        let map = policy.initial_group_map(&candidates);
         Self { policy, map, machines, down: BTreeSet::new(), now: Timestamp::default(), random }
     }
 
@@ -73,18 +74,23 @@
             if self.down.contains(&own.node) {
                 continue;
             }
-            if let PlaceStep::Change { group, .. } =
-                self.policy.place_step(&Places::default(), &self.map, &own, &watch, Patience::LONG, self.now)
-            {
-                self.map = self.map.with(group);
+            if let MembershipDecision::Change { group, .. } = self.policy.decide_membership(
+                &Places::default(),
+                &self.map,
+                &own,
+                &watch,
+                ReplacementPolicy::FOR_EXISTING_MACHINE,
+                self.now,
+            ) {
+                self.map = self.map.with_group(group);
             }
         }
     }
 
     /// Removes a machine from its group and, unless it is the last one, from the fleet.
     fn drain(&mut self, machine: &Member) {
-        if let Some(group) = self.map.seat_of(&machine.node).cloned() {
-            self.map = self.map.with(group.without(&machine.node));
+        if let Some(group) = self.map.group_of_member(&machine.node).cloned() {
+            self.map = self.map.with_group(group.without_member(&machine.node));
         }
         self.machines.retain(|other| other.node != machine.node);
         if self.machines.is_empty() {
@@ -96,16 +102,16 @@
         let mut watch = MemberWatch::default();
         for member in self.map.members() {
             if self.down.contains(&member.node) {
-                watch.answered(
+                watch.record_answer(
                     &member.node,
-                    MemberTold { is_voting: true, ..MemberTold::default() },
+                    MemberReport { is_voting: true, ..MemberReport::default() },
                     Timestamp::default(),
                 );
-                watch.silent(&member.node, self.now);
+                watch.record_timeout(&member.node, self.now);
             } else {
-                watch.answered(
+                watch.record_answer(
                     &member.node,
-                    MemberTold { is_voting: true, ..MemberTold::default() },
+                    MemberReport { is_voting: true, ..MemberReport::default() },
                     self.now,
                 );
             }
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -54,7 +54,7 @@
     /// A member is shutting down.
     Leaving(Member),
     /// Others declared this node dead; it refuted.
-    OwnDeathRefuted,
+    DeathRefuted,
     /// A later incarnation of this node exists: this process was replaced and must stop.
     Replaced,
     /// A peer has a newer configuration in force.
@@ -200,14 +200,14 @@
             self.effects.push(Effect::Event(Event::NewerGeneration { peer: sender, generation }));
         }
         self.merge_member(envelope.sender, now);
-        for member in envelope.news {
+        for member in envelope.updates {
             self.merge_member(member, now);
         }
         match envelope.packet {
-            Packet::Probe { sequence } => self.send(from, Packet::Answer { sequence }),
-            Packet::Answer { sequence } => self.receive_answer(sequence),
+            Packet::Probe { sequence } => self.send(from, Packet::Ack { sequence }),
+            Packet::Ack { sequence } => self.receive_ack(sequence),
             Packet::ProbeRequest { sequence, target } => self.relay_probe(from, sequence, target),
-            Packet::RelayedAnswer { sequence } => self.end_probe(sequence),
+            Packet::RelayedAck { sequence } => self.end_probe(sequence),
             Packet::Exchange { digest } => {
                 if digest != self.directory.digest() {
                     self.send_members(from, true);
@@ -293,10 +293,10 @@
         }
     }
 
-    fn receive_answer(&mut self, sequence: u64) {
+    fn receive_ack(&mut self, sequence: u64) {
         if let Some(relayed_probe) = self.relayed_probes.remove(&sequence) {
             let sequence = relayed_probe.requester_sequence;
-            self.send(relayed_probe.requester, Packet::RelayedAnswer { sequence });
+            self.send(relayed_probe.requester, Packet::RelayedAck { sequence });
             return;
         }
         self.end_probe(sequence);
@@ -398,7 +398,7 @@
         }
         self.own.refutation = member.refutation + 1;
         if member.state == MemberState::Dead {
-            self.effects.push(Effect::Event(Event::OwnDeathRefuted));
+            self.effects.push(Effect::Event(Event::DeathRefuted));
         }
         self.publish_own();
     }
@@ -456,9 +456,9 @@
 
     fn send(&mut self, to: SocketAddr, packet: Packet) {
         let fleet_size = self.directory.iter().count();
-        let nodes = self.broadcasts.take(self.settings.news_in_message, fleet_size);
-        let news = nodes.into_iter().filter_map(|node| self.directory.get(node).cloned()).collect();
-        let envelope = Envelope { sender: self.own.clone(), generation: self.generation, news, packet };
+        let nodes = self.broadcasts.take(self.settings.updates_in_message, fleet_size);
+        let updates = nodes.into_iter().filter_map(|node| self.directory.get(node).cloned()).collect();
+        let envelope = Envelope { sender: self.own.clone(), generation: self.generation, updates, packet };
         self.effects.push(Effect::Send { to, envelope: Box::new(envelope) });
     }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -12,7 +12,7 @@
     /// Configuration generation in force at the sender.
     pub generation: Generation,
     /// Piggybacked updates about other members.
-    pub news: Vec<Member>,
+    pub updates: Vec<Member>,
     /// Content of the message.
     pub packet: Packet,
 }
@@ -26,7 +26,7 @@
         sequence: u64,
     },
     /// Answer to a probe.
-    Answer {
+    Ack {
         /// Sequence number of the probe.
         sequence: u64,
     },
@@ -38,7 +38,7 @@
         target: NodeId,
     },
     /// The target of a probe request answered.
-    RelayedAnswer {
+    RelayedAck {
         /// Sequence number of the request.
         sequence: u64,
     },
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -14,7 +14,7 @@
     /// Minimum time from suspicion to death; it grows with the logarithm of the fleet size.
     pub suspicion: Duration,
     /// Maximum number of piggybacked updates per message.
-    pub news_in_message: usize,
+    pub updates_in_message: usize,
     /// Time for which dead members are kept, so that outdated updates do not revive them.
     pub dead_retention: Duration,
     /// Average interval at which member lists are compared with a random node.
@@ -28,7 +28,7 @@
             probe_timeout: Duration::from_millis(250),
             indirect_probes: 3,
             suspicion: Duration::from_millis(2000),
-            news_in_message: 12,
+            updates_in_message: 12,
             dead_retention: Duration::from_secs(600),
             exchange_interval: Duration::from_secs(30),
         }
--- a/crates/node/src/chat_runner.rs
+++ b/crates/node/src/chat_runner.rs
@@ -36,7 +36,7 @@
 /// How long the admission and the commit of a turn are retried.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(15);
 /// Margin beyond a call's deadline before its program's leader abandons it.
-const RUN_LIMIT_MARGIN: Duration = Duration::from_secs(20);
+const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
 /// Maximum output tokens if the caller sets no limit.
 const DEFAULT_OUTPUT_TOKENS: TokenCount = 4096;
 /// Attempts to place a call whose engine owner is stopping or unreachable.
@@ -253,7 +253,7 @@
     async fn begin_turn(&self, turn: &Turn, program: &ProgramId) -> Result<Reply, Problem> {
         let limits = self.budget_limits(turn, program).await?;
         let wait = self.context.settings.limits.turn_wait;
-        let wait_until = (self.context.now() + wait).min(turn.deadline);
+        let wait_deadline = (self.context.now() + wait).min(turn.deadline);
         let mut known = estimate_known_prefix(&turn.call);
         loop {
             let (messages, known_prefix) = split_known(&turn.call.messages, known);
@@ -267,18 +267,18 @@
                 mode: turn.call.mode,
                 known_prefix,
                 messages,
-                wanted_output: turn.call.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS),
+                max_output_tokens: turn.call.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS),
                 limits,
                 runner: self.context.runner(),
-                wait_until,
-                run_limit: turn.deadline.since(self.context.now()) + RUN_LIMIT_MARGIN,
+                wait_deadline,
+                run_timeout: turn.deadline.since(self.context.now()) + RUN_TIMEOUT_MARGIN,
             };
             let command = Command::BeginTurn(Box::new(begin));
-            let deadline = wait_until + COMMIT_TIMEOUT;
+            let deadline = wait_deadline + COMMIT_TIMEOUT;
             let call = turn.call.call;
             match self.shard_client.send_program_command(program, call, command, wait, deadline).await? {
-                Reply::SendAllMessages if known > 0 => known = 0,
-                Reply::Refused(problem) => return Err(problem),
+                Reply::PrefixMismatch if known > 0 => known = 0,
+                Reply::Rejected(problem) => return Err(problem),
                 reply => return Ok(reply),
             }
         }
@@ -312,7 +312,7 @@
                 .await?
             {
                 Reply::Granted(limits) => return Ok(limits),
-                Reply::Refused(problem) => match problem.retry_after {
+                Reply::Rejected(problem) => match problem.retry_after {
                     Some(delay) if self.context.now() + delay < turn.deadline => {
                         tokio::time::sleep(delay).await;
                     }
@@ -348,7 +348,7 @@
         match reply {
             Ok(Reply::Done) => self.send_completion(turn, caller, completion).await,
             // The turn ran, even though the leader refused to record it.
-            Ok(Reply::Refused(problem)) => self.send_failure(turn, caller, problem.with_ran(Ran::Yes)).await,
+            Ok(Reply::Rejected(problem)) => self.send_failure(turn, caller, problem.with_ran(Ran::Yes)).await,
             Ok(_) | Err(_) => {
                 let detail = "the answer could not be committed to the program's history";
                 let problem = Problem::unknown(ResultCode::NotCommitted, detail)
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 use slog::{error, info, warn};
-use sumacdrift_config::{Bundle, InForce};
+use sumacdrift_config::{Bundle, CurrentConfiguration};
 use sumacdrift_platform::{BUNDLE_OBJECT, ObjectClient, PlatformError};
 use sumacdrift_proto::{FleetReply, FleetRequest, Request, Response};
 use sumacdrift_types::{EngineName, Generation, NodeId, ZoneName};
@@ -28,7 +28,7 @@
 /// Holds the active configuration.
 pub(crate) struct ConfigurationStore {
     context: Arc<Context>,
-    in_force: RwLock<InForce<Arc<Bundle>>>,
+    current: RwLock<CurrentConfiguration<Arc<Bundle>>>,
     fleet: RwLock<Weak<Fleet>>,
     engine_owner: RwLock<Weak<EngineOwner>>,
 }
@@ -37,7 +37,7 @@
     pub(crate) fn new(context: Arc<Context>) -> Self {
         Self {
             context,
-            in_force: RwLock::default(),
+            current: RwLock::default(),
             fleet: RwLock::new(Weak::new()),
             engine_owner: RwLock::new(Weak::new()),
         }
@@ -51,7 +51,7 @@
 
     /// `None` until a first configuration has been applied.
     pub(crate) fn current(&self) -> Option<Arc<Bundle>> {
-        self.in_force.read().unwrap_or_else(PoisonError::into_inner).current().cloned()
+        self.current.read().unwrap_or_else(PoisonError::into_inner).current().cloned()
     }
 
     /// Generation of the active configuration; 0 if there is none.
@@ -73,14 +73,14 @@
     pub(crate) fn apply_if_newer(&self, source: &str, text: &str) -> bool {
         let bundle = match Bundle::parse(source, text) {
             Ok(bundle) => Arc::new(bundle),
-            Err(mistakes) => {
+            Err(errors) => {
                 error!(self.context.logger, "rejected an invalid bundle";
-                    "source" => source, "mistakes" => mistakes.to_string());
+                    "source" => source, "mistakes" => errors.to_string());
                 return false;
             }
         };
         let generation = bundle.generation;
-        if !self.in_force.write().unwrap_or_else(PoisonError::into_inner).offer(bundle) {
+        if !self.current.write().unwrap_or_else(PoisonError::into_inner).replace_if_newer(bundle) {
             return false;
         }
         info!(self.context.logger, "applied a new configuration";
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -58,7 +58,7 @@
             };
             match self.send_command(call, command).await? {
                 Reply::Report(report) => Ok(*report),
-                Reply::Refused(problem) => Err(problem),
+                Reply::Rejected(problem) => Err(problem),
                 _ => Err(unexpected_reply()),
             }
         })
@@ -70,7 +70,7 @@
             let command = Command::EndProgram { call: call.call, program: call.program.clone(), tenant };
             match self.send_command(call, command).await? {
                 Reply::Done => Ok(()),
-                Reply::Refused(problem) => Err(problem),
+                Reply::Rejected(problem) => Err(problem),
                 _ => Err(unexpected_reply()),
             }
         })
--- a/crates/node/src/engine_owner.rs
+++ b/crates/node/src/engine_owner.rs
@@ -142,11 +142,11 @@
         let mut owned = self.lock();
         for (engine, entry) in owned.iter_mut() {
             let found = bundle.engines().find(|(_, configured)| configured.name == *engine);
-            let is_leaving = found.is_none_or(|(_, configured)| configured.is_leaving);
+            let is_draining = found.is_none_or(|(_, configured)| configured.is_draining);
             if let Some((pool, _)) = found {
                 entry.queue.reconfigure(pool.queue);
             }
-            let effects = entry.queue.set_leaving(is_leaving);
+            let effects = entry.queue.set_leaving(is_draining);
             deliver_outcomes(entry, effects);
         }
     }
@@ -173,7 +173,7 @@
             let bundle = self.configuration.current()?;
             let (pool, configured) = bundle.engines().find(|(_, candidate)| candidate.name == *engine)?;
             let mut queue = EngineQueue::new(engine.clone(), pool.queue);
-            queue.set_leaving(configured.is_leaving);
+            queue.set_leaving(configured.is_draining);
             owned.insert(engine.clone(), OwnedEngine { queue, waiters: HashMap::new() });
         }
         owned.get_mut(engine)
--- a/crates/node/src/engine_router.rs
+++ b/crates/node/src/engine_router.rs
@@ -180,7 +180,7 @@
 /// Engines that aren't draining and haven't failed the call. If all of them have failed it, all that aren't
 /// draining.
 fn usable_engines<'a>(pool: &'a Pool, failed: &[EngineName]) -> Vec<&'a Engine> {
-    let available: Vec<&Engine> = pool.engines.iter().filter(|engine| !engine.is_leaving).collect();
+    let available: Vec<&Engine> = pool.engines.iter().filter(|engine| !engine.is_draining).collect();
     let untried: Vec<&Engine> =
         available.iter().copied().filter(|engine| !failed.contains(&engine.name)).collect();
     if untried.is_empty() { available } else { untried }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -198,7 +198,7 @@
             Event::Down { node, incarnation } => warn!(logger, "node is considered dead";
                 "peer" => node.0, "incarnation" => incarnation.0),
             Event::Leaving(member) => info!(logger, "node is leaving"; "peer" => member.node.0),
-            Event::OwnDeathRefuted => warn!(logger, "this node was reported dead; refuted the report"),
+            Event::DeathRefuted => warn!(logger, "this node was reported dead; refuted the report"),
             Event::Replaced => {
                 warn!(logger, "a later incarnation of this node exists; stopping");
                 self.context.stopped.cancel();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use slog::{Logger, info};
-use sumacdrift_config::{Mistakes, Settings};
+use sumacdrift_config::{ConfigErrors, Settings};
 use sumacdrift_engine_client::EngineClient;
 use sumacdrift_gateway::{GatewaySettings, ListenerSettings, TenantLimits};
 use sumacdrift_platform::ObjectClient;
@@ -37,7 +37,7 @@
     #[error("failed to read bundle file {file}: {error}")]
     BundleFile { file: String, error: std::io::Error },
     #[error("invalid bundle file:\n{0}")]
-    Bundle(#[from] Mistakes),
+    Bundle(#[from] ConfigErrors),
 }
 
 /// Dependencies of a node that are not part of its settings.
--- a/crates/node/src/service_runner.rs
+++ b/crates/node/src/service_runner.rs
@@ -29,7 +29,7 @@
 /// How long a ledger command is retried.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Margin beyond a call's run time before the ledger records its outcome as lost.
-const RUN_LIMIT_MARGIN: Duration = Duration::from_secs(30);
+const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
 /// Upper bound only; each attempt has the service's own deadline.
 const MAX_CALL_DURATION: Duration = Duration::from_secs(3600);
 const DIGEST_BYTES: usize = 16;
@@ -194,7 +194,7 @@
             key: key.clone(),
             request: request_digest(&call),
             runner: self.context.runner(),
-            run_limit: service.deadline * service.back_ends.len().max(1) as u32 + RUN_LIMIT_MARGIN,
+            run_timeout: service.deadline * service.back_ends.len().max(1) as u32 + RUN_TIMEOUT_MARGIN,
         };
         let command = Command::BeginService(begin);
         let deadline = self.context.now() + LEDGER_TIMEOUT;
@@ -204,7 +204,7 @@
                 self.context.metrics.replays.inc();
                 Ok(to_answer(response, true))
             }
-            Ok(Reply::Refused(problem)) => Err(problem),
+            Ok(Reply::Rejected(problem)) => Err(problem),
             Ok(_) => Err(Problem::not_run(ResultCode::Internal, "unexpected reply from the ledger")),
             Err(problem) => {
                 // The admission may have been committed although no answer arrived. Nothing was sent to a
@@ -242,7 +242,7 @@
                     break;
                 }
                 Err(error) => {
-                    let command = Command::LoseService { key: key.clone(), call: call.call };
+                    let command = Command::MarkServiceUnknown { key: key.clone(), call: call.call };
                     self.update_ledger(&key, &call, command).await;
                     warn!(self.context.logger, "outcome of a non-repeatable call is unknown";
                         "call" => %call.call, "service" => %call.service, "error" => error.to_string());
@@ -286,7 +286,7 @@
     /// Back ends that aren't draining, in random order, those of this node's zone first.
     fn ordered_back_ends(&self, service: &Service) -> Vec<ServiceBackEnd> {
         let mut back_ends: Vec<ServiceBackEnd> =
-            service.back_ends.iter().filter(|back_end| !back_end.is_leaving).cloned().collect();
+            service.back_ends.iter().filter(|back_end| !back_end.is_draining).cloned().collect();
         back_ends.shuffle(&mut rand::rng());
         back_ends.sort_by_key(|back_end| back_end.zone != self.context.settings.zone);
         back_ends
--- a/crates/node/src/shard_client.rs
+++ b/crates/node/src/shard_client.rs
@@ -112,8 +112,8 @@
         let mut ended = Vec::new();
         for (shard, programs) in by_shard {
             let call = CallId::random(&mut rand::rng());
-            let command = Command::ListGone { call, programs };
-            if let Ok(Reply::Gone(programs)) =
+            let command = Command::ListEnded { call, programs };
+            if let Ok(Reply::Ended(programs)) =
                 self.send_command(shard, call, command, Duration::ZERO, deadline).await
             {
                 ended.extend(programs);
@@ -208,7 +208,7 @@
             Ok(Response::NotLeader { hint }) => AttemptOutcome::Redirected(hint),
             Ok(Response::Failed(problem)) => AttemptOutcome::Failed(problem),
             Ok(_) => AttemptOutcome::Unanswered,
-            Err(TransportError::Unreachable | TransportError::Lost | TransportError::TimedOut) => {
+            Err(TransportError::Unreachable | TransportError::ConnectionLost | TransportError::TimedOut) => {
                 AttemptOutcome::Unanswered
             }
         }
@@ -271,5 +271,5 @@
 
 /// Whether the leader sends a reply to the command.
 pub(crate) fn has_reply(command: &Command) -> bool {
-    !matches!(command, Command::ForgetWaiting { .. } | Command::ReturnChild { .. })
+    !matches!(command, Command::CancelWaiting { .. } | Command::ReturnChild { .. })
 }
--- a/crates/node/src/shard_host.rs
+++ b/crates/node/src/shard_host.rs
@@ -93,7 +93,7 @@
                     (ShardId(number), self.context.now(), self.context.random_seed());
                 let configuration = Configuration::of_voters(voters);
                 let shard =
-                    ProgramShard::found(id, own_replica, configuration, self.settings, random_seed, now);
+                    ProgramShard::bootstrap(id, own_replica, configuration, self.settings, random_seed, now);
                 self.insert(shard);
             }
         }
--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -21,7 +21,7 @@
 
 impl Admission {
     fn reject(code: ResultCode, detail: &str) -> Self {
-        Self::Reply(Reply::Refused(Problem::not_run(code, detail)))
+        Self::Reply(Reply::Rejected(Problem::not_run(code, detail)))
     }
 }
 
@@ -61,7 +61,7 @@
         return Admission::Wait("earlier turns of the program have not arrived yet");
     }
     if request.known_prefix.length > 0 {
-        return Admission::Reply(Reply::SendAllMessages);
+        return Admission::Reply(Reply::PrefixMismatch);
     }
     if request.messages.is_empty() {
         return Admission::reject(ResultCode::MalformedBody, "the request contains no messages");
@@ -162,7 +162,7 @@
         HistoryMode::Full => match messages_after_history(history, request) {
             Some(added) => added,
             None if request.known_prefix.length > 0 => {
-                return Err(Admission::Reply(Reply::SendAllMessages));
+                return Err(Admission::Reply(Reply::PrefixMismatch));
             }
             None => {
                 let detail = "the messages do not start with the recorded history";
@@ -197,9 +197,9 @@
     now: Timestamp,
 ) -> Admission {
     let input_tokens = messages.iter().map(ChatMessage::estimated_tokens).sum();
-    let reserved: Reservation = match budget.plan(input_tokens, request.wanted_output, now) {
+    let reserved: Reservation = match budget.plan(input_tokens, request.max_output_tokens, now) {
         Ok(reserved) => reserved,
-        Err(problem) => return Admission::Reply(Reply::Refused(problem)),
+        Err(problem) => return Admission::Reply(Reply::Rejected(problem)),
     };
     entries.push(Entry::TurnAccepted(Box::new(TurnAccepted {
         program: request.program.clone(),
@@ -209,7 +209,7 @@
         messages,
         reserved,
         runner: request.runner,
-        give_up_at: now + request.run_limit,
+        give_up_at: now + request.run_timeout,
     })));
     Admission::Propose(entries)
 }
--- a/crates/program/src/budget.rs
+++ b/crates/program/src/budget.rs
@@ -64,12 +64,12 @@
 
     /// Computes the reservation of a call without making it.
     ///
-    /// `wanted_output` is reduced to the remaining output budget. Fails with `BudgetExhausted` if the time, turn,
+    /// `max_output_tokens` is reduced to the remaining output budget. Fails with `BudgetExhausted` if the time, turn,
     /// input or output limit is reached.
     pub fn plan(
         &self,
         input_tokens: TokenCount,
-        wanted_output: TokenCount,
+        max_output_tokens: TokenCount,
         now: Timestamp,
     ) -> Result<Reservation, Problem> {
         self.check_time(now)?;
@@ -80,9 +80,9 @@
             return Err(budget_exhausted("input tokens", self.limits.input_tokens));
         }
         if is_broken(Rule::ReserveBudget) {
-            return Ok(Reservation { input_tokens, output_tokens: wanted_output });
+            return Ok(Reservation { input_tokens, output_tokens: max_output_tokens });
         }
-        let output_tokens = wanted_output.min(self.remaining_output());
+        let output_tokens = max_output_tokens.min(self.remaining_output());
         if output_tokens == 0 {
             return Err(budget_exhausted("output tokens", self.limits.output_tokens));
         }
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -37,7 +37,7 @@
         reason: String,
     },
     /// Drop a waiting turn that is not yet admitted.
-    ForgetWaiting { program: ProgramId, call: CallId },
+    CancelWaiting { program: ProgramId, call: CallId },
     /// Grant a sub-agent a share of its parent's budget.
     GrantChild(GrantChild),
     /// Return the unused budget of an ended sub-agent to its parent.
@@ -58,7 +58,7 @@
         page: Page,
     },
     /// Select those of `programs` that have ended or are unknown.
-    ListGone { call: CallId, programs: Vec<ProgramId> },
+    ListEnded { call: CallId, programs: Vec<ProgramId> },
     /// Admit an at-most-once service call.
     BeginService(BeginService),
     /// Record a service call's response.
@@ -66,7 +66,7 @@
     /// Release the key of a service call that was certainly not sent.
     ReleaseService { key: LedgerKey, call: CallId },
     /// Record that a service call may have been sent and its response was lost.
-    LoseService { key: LedgerKey, call: CallId },
+    MarkServiceUnknown { key: LedgerKey, call: CallId },
 }
 
 impl Command {
@@ -78,13 +78,13 @@
             Command::GrantChild(grant) => grant.call,
             Command::BeginService(begin) => begin.call,
             Command::AbandonTurn { call, .. }
-            | Command::ForgetWaiting { call, .. }
+            | Command::CancelWaiting { call, .. }
             | Command::EndProgram { call, .. }
             | Command::Describe { call, .. }
-            | Command::ListGone { call, .. }
+            | Command::ListEnded { call, .. }
             | Command::FinishService { call, .. }
             | Command::ReleaseService { call, .. }
-            | Command::LoseService { call, .. } => *call,
+            | Command::MarkServiceUnknown { call, .. } => *call,
             Command::ReturnChild { .. } => CallId(0),
         }
     }
@@ -109,14 +109,14 @@
     /// The messages after the known prefix.
     pub messages: Vec<ChatMessage>,
     /// Limit on generated tokens that the caller requested.
-    pub wanted_output: TokenCount,
+    pub max_output_tokens: TokenCount,
     /// Budget limits, used if this call creates the program.
     pub limits: BudgetLimits,
     pub runner: Runner,
     /// Deadline for waiting for the preceding turn.
-    pub wait_until: Timestamp,
+    pub wait_deadline: Timestamp,
     /// Time after admission within which the call must be finished or abandoned.
-    pub run_limit: Duration,
+    pub run_timeout: Duration,
 }
 
 /// A prefix of the history, identified by message count and digest.
@@ -165,5 +165,5 @@
     pub request: [u8; 16],
     pub runner: Runner,
     /// Time after admission within which the outcome must be recorded.
-    pub run_limit: Duration,
+    pub run_timeout: Duration,
 }
--- a/crates/program/src/effect.rs
+++ b/crates/program/src/effect.rs
@@ -32,9 +32,9 @@
     /// The turn was committed before, with this answer.
     Replay(RecordedAnswer),
     /// The known prefix does not match the recorded history; the caller must send all messages.
-    SendAllMessages,
-    /// The request is rejected.
-    Refused(Problem),
+    PrefixMismatch,
+    /// With the problem to return to the caller.
+    Rejected(Problem),
     /// The requested change is committed.
     Done,
     /// The call ended without an answer. Distinct from `Done`, because a leader may abandon a call while its node
@@ -45,7 +45,7 @@
     /// The state of a program.
     Report(Box<ProgramReport>),
     /// Programs that have ended or are unknown.
-    Gone(Vec<ProgramId>),
+    Ended(Vec<ProgramId>),
     /// The service call is admitted.
     RunService,
     /// The service call was completed before, with this response.
--- a/crates/program/src/leader.rs
+++ b/crates/program/src/leader.rs
@@ -61,7 +61,7 @@
     }
 
     fn reject(&mut self, call: CallId, problem: Problem) {
-        self.reply(call, Reply::Refused(problem));
+        self.reply(call, Reply::Rejected(problem));
     }
 }
 
@@ -125,7 +125,7 @@
                 let abandoned = TurnAbandoned { program, call, output_tokens, engines };
                 self.abandon_turn(state, abandoned, &mut step);
             }
-            Command::ForgetWaiting { program, call } => self.remove_waiting(&program, call),
+            Command::CancelWaiting { program, call } => self.remove_waiting(&program, call),
             Command::GrantChild(grant) => self.grant_child(state, grant, now, &mut step),
             Command::ReturnChild { parent, child, unused } => {
                 let grant = state.program(&parent).and_then(|record| record.children.get(&child));
@@ -154,12 +154,12 @@
                     None => step.reject(call, unknown_program()),
                 }
             }
-            Command::ListGone { call, mut programs } => {
+            Command::ListEnded { call, mut programs } => {
                 if is_broken(Rule::FreeEndedPrograms) {
                     programs.clear();
                 }
                 programs.retain(|program| state.program(program).is_none_or(|record| record.ended.is_some()));
-                step.reply(call, Reply::Gone(programs));
+                step.reply(call, Reply::Ended(programs));
             }
             Command::BeginService(request) => self.begin_service(state, request, now, &mut step),
             Command::FinishService { key, call, response } => {
@@ -168,7 +168,7 @@
             Command::ReleaseService { key, call } => {
                 step.entries.push(Entry::ServiceReleased { key, call });
             }
-            Command::LoseService { key, call } => {
+            Command::MarkServiceUnknown { key, call } => {
                 step.entries.push(Entry::ServiceUnknown { key, call, at: now });
             }
         }
@@ -267,7 +267,7 @@
         now: Timestamp,
     ) {
         match reply {
-            Reply::Refused(problem) => {
+            Reply::Rejected(problem) => {
                 self.record_decision(program, DecisionKind::Refused, turn, problem.to_string(), now);
             }
             Reply::Replay(answer) => {
@@ -279,7 +279,7 @@
     }
 
     fn enqueue_waiting(&mut self, request: BeginTurn, reason: &str, now: Timestamp, step: &mut Step) {
-        if request.wait_until <= now {
+        if request.wait_deadline <= now {
             step.reject(request.call, wait_timed_out(&request));
             return;
         }
--- a/crates/program/src/leader/expiry.rs
+++ b/crates/program/src/leader/expiry.rs
@@ -9,7 +9,7 @@
     pub(super) fn expire_waiting(&mut self, now: Timestamp, step: &mut Step) {
         for waiting_turns in self.waiting_turns.values_mut() {
             waiting_turns.retain(|request| {
-                let keeps_waiting = request.wait_until > now;
+                let keeps_waiting = request.wait_deadline > now;
                 if !keeps_waiting {
                     step.reject(request.call, wait_timed_out(request));
                 }
--- a/crates/program/src/leader/services.rs
+++ b/crates/program/src/leader/services.rs
@@ -103,7 +103,7 @@
                 request: request.request,
                 call: request.call,
                 runner: request.runner,
-                give_up_at: now + request.run_limit,
+                give_up_at: now + request.run_timeout,
             }));
             return;
         };
--- a/crates/proto/src/command.rs
+++ b/crates/proto/src/command.rs
@@ -201,11 +201,11 @@
             known_length: self.known_prefix.length as u64,
             known_digest: self.known_prefix.digest.0.to_vec(),
             messages: chat_texts(&self.messages),
-            wanted_output: self.wanted_output,
+            wanted_output: self.max_output_tokens,
             limits: Some(self.limits.to_wire()),
             runner: Some(self.runner.to_wire()),
-            wait_until_micros: time_field(self.wait_until),
-            run_limit_micros: self.run_limit.as_micros() as u64,
+            wait_until_micros: time_field(self.wait_deadline),
+            run_limit_micros: self.run_timeout.as_micros() as u64,
         }
     }
 
@@ -222,11 +222,11 @@
             mode,
             known_prefix: KnownPrefix { length: message.known_length as usize, digest },
             messages: chat_messages(message.messages),
-            wanted_output: message.wanted_output,
+            max_output_tokens: message.wanted_output,
             limits: required_value(message.limits, "limits")?,
             runner: required_value(message.runner, "runner")?,
-            wait_until: Timestamp(message.wait_until_micros),
-            run_limit: Duration::from_micros(message.run_limit_micros),
+            wait_deadline: Timestamp(message.wait_until_micros),
+            run_timeout: Duration::from_micros(message.run_limit_micros),
         })
     }
 }
@@ -292,7 +292,7 @@
                 reason: reason.clone(),
             })
         }
-        Command::ForgetWaiting { program, call } => CommandKind::ForgetWaiting(ProgramCallMessage {
+        Command::CancelWaiting { program, call } => CommandKind::ForgetWaiting(ProgramCallMessage {
             call: Some(call.to_wire()),
             program: program.to_string(),
             ..Default::default()
@@ -322,7 +322,7 @@
             first_message: page.first_message as u64,
             messages: page.messages as u64,
         }),
-        Command::ListGone { call, programs } => {
+        Command::ListEnded { call, programs } => {
             CommandKind::ListGone(ListGoneMessage { call: Some(call.to_wire()), programs: texts(programs) })
         }
         Command::BeginService(begin) => CommandKind::BeginService(BeginServiceMessage {
@@ -330,13 +330,13 @@
             key: Some(begin.key.to_wire()),
             request: begin.request.to_vec(),
             runner: Some(begin.runner.to_wire()),
-            run_limit_micros: begin.run_limit.as_micros() as u64,
+            run_limit_micros: begin.run_timeout.as_micros() as u64,
         }),
         Command::FinishService { key, call, response } => {
             CommandKind::FinishService(service_call(key, call, Some(response.to_wire())))
         }
         Command::ReleaseService { key, call } => CommandKind::ReleaseService(service_call(key, call, None)),
-        Command::LoseService { key, call } => CommandKind::LoseService(service_call(key, call, None)),
+        Command::MarkServiceUnknown { key, call } => CommandKind::LoseService(service_call(key, call, None)),
     }
 }
 
@@ -351,7 +351,7 @@
             engines: names(message.engines, "engines")?,
             reason: message.reason,
         },
-        CommandKind::ForgetWaiting(message) => Command::ForgetWaiting {
+        CommandKind::ForgetWaiting(message) => Command::CancelWaiting {
             program: name(message.program, "program")?,
             call: required_value(message.call, "call")?,
         },
@@ -378,7 +378,7 @@
             tenant: name(message.tenant, "tenant")?,
             page: Page { first_message: message.first_message as usize, messages: message.messages as usize },
         },
-        CommandKind::ListGone(message) => Command::ListGone {
+        CommandKind::ListGone(message) => Command::ListEnded {
             call: required_value(message.call, "call")?,
             programs: names(message.programs, "programs")?,
         },
@@ -387,7 +387,7 @@
             key: required_value(message.key, "key")?,
             request: fixed(&message.request, "request")?,
             runner: required_value(message.runner, "runner")?,
-            run_limit: Duration::from_micros(message.run_limit_micros),
+            run_timeout: Duration::from_micros(message.run_limit_micros),
         }),
         CommandKind::FinishService(message) => Command::FinishService {
             key: required_value(message.key, "key")?,
@@ -398,7 +398,7 @@
             key: required_value(message.key, "key")?,
             call: required_value(message.call, "call")?,
         },
-        CommandKind::LoseService(message) => Command::LoseService {
+        CommandKind::LoseService(message) => Command::MarkServiceUnknown {
             key: required_value(message.key, "key")?,
             call: required_value(message.call, "call")?,
         },
--- a/crates/proto/src/membership.rs
+++ b/crates/proto/src/membership.rs
@@ -142,7 +142,7 @@
         EnvelopeMessage {
             sender: Some(self.sender.to_wire()),
             generation: self.generation.0,
-            news: messages(&self.news),
+            news: messages(&self.updates),
             packet: Some(packet_kind(&self.packet)),
         }
     }
@@ -151,7 +151,7 @@
         Ok(Envelope {
             sender: required_value(message.sender, "sender")?,
             generation: Generation(message.generation),
-            news: values(message.news)?,
+            updates: values(message.news)?,
             packet: packet_value(required(message.packet, "packet")?)?,
         })
     }
@@ -160,11 +160,11 @@
 fn packet_kind(packet: &Packet) -> PacketKind {
     match packet {
         Packet::Probe { sequence } => PacketKind::Probe(*sequence),
-        Packet::Answer { sequence } => PacketKind::Answer(*sequence),
+        Packet::Ack { sequence } => PacketKind::Answer(*sequence),
         Packet::ProbeRequest { sequence, target } => {
             PacketKind::ProbeRequest(ProbeRequestMessage { sequence: *sequence, target: target.0 })
         }
-        Packet::RelayedAnswer { sequence } => PacketKind::RelayedAnswer(*sequence),
+        Packet::RelayedAck { sequence } => PacketKind::RelayedAnswer(*sequence),
         Packet::Exchange { digest } => PacketKind::Exchange(*digest),
         Packet::Members { members, wants_reply } => {
             PacketKind::Members(MembersMessage { members: messages(members), wants_reply: *wants_reply })
@@ -176,11 +176,11 @@
 fn packet_value(kind: PacketKind) -> Result<Packet, DecodeError> {
     Ok(match kind {
         PacketKind::Probe(sequence) => Packet::Probe { sequence },
-        PacketKind::Answer(sequence) => Packet::Answer { sequence },
+        PacketKind::Answer(sequence) => Packet::Ack { sequence },
         PacketKind::ProbeRequest(request) => {
             Packet::ProbeRequest { sequence: request.sequence, target: NodeId(request.target) }
         }
-        PacketKind::RelayedAnswer(sequence) => Packet::RelayedAnswer { sequence },
+        PacketKind::RelayedAnswer(sequence) => Packet::RelayedAck { sequence },
         PacketKind::Exchange(digest) => Packet::Exchange { digest },
         PacketKind::Members(message) => {
             Packet::Members { members: values(message.members)?, wants_reply: message.wants_reply }
--- a/crates/proto/src/reply.rs
+++ b/crates/proto/src/reply.rs
@@ -297,13 +297,13 @@
         let kind = match self {
             Reply::Run(run) => ReplyKind::Run(run.to_wire()),
             Reply::Replay(answer) => ReplyKind::Replay(answer.to_wire()),
-            Reply::SendAllMessages => ReplyKind::SendAllMessages(EmptyMessage {}),
-            Reply::Refused(problem) => ReplyKind::Refused(problem.to_wire()),
+            Reply::PrefixMismatch => ReplyKind::SendAllMessages(EmptyMessage {}),
+            Reply::Rejected(problem) => ReplyKind::Refused(problem.to_wire()),
             Reply::Done => ReplyKind::Done(EmptyMessage {}),
             Reply::Granted(limits) => ReplyKind::Granted(limits.to_wire()),
             Reply::Report(report) => ReplyKind::Report(Box::new(report.to_wire())),
             Reply::Abandoned => ReplyKind::Abandoned(EmptyMessage {}),
-            Reply::Gone(programs) => ReplyKind::Gone(ProgramsMessage { programs: texts(programs) }),
+            Reply::Ended(programs) => ReplyKind::Gone(ProgramsMessage { programs: texts(programs) }),
             Reply::RunService => ReplyKind::RunService(EmptyMessage {}),
             Reply::ReplayService(response) => ReplyKind::ReplayService(response.to_wire()),
         };
@@ -314,13 +314,13 @@
         Ok(match required(message.kind, "kind")? {
             ReplyKind::Run(message) => Reply::Run(Box::new(RunTurn::from_wire(message)?)),
             ReplyKind::Replay(message) => Reply::Replay(Wire::from_wire(message)?),
-            ReplyKind::SendAllMessages(_) => Reply::SendAllMessages,
-            ReplyKind::Refused(message) => Reply::Refused(Wire::from_wire(message)?),
+            ReplyKind::SendAllMessages(_) => Reply::PrefixMismatch,
+            ReplyKind::Refused(message) => Reply::Rejected(Wire::from_wire(message)?),
             ReplyKind::Done(_) => Reply::Done,
             ReplyKind::Granted(message) => Reply::Granted(Wire::from_wire(message)?),
             ReplyKind::Report(message) => Reply::Report(Box::new(ProgramReport::from_wire(*message)?)),
             ReplyKind::Abandoned(_) => Reply::Abandoned,
-            ReplyKind::Gone(message) => Reply::Gone(names(message.programs, "programs")?),
+            ReplyKind::Gone(message) => Reply::Ended(names(message.programs, "programs")?),
             ReplyKind::RunService(_) => Reply::RunService,
             ReplyKind::ReplayService(message) => Reply::ReplayService(Wire::from_wire(message)?),
         })
--- a/crates/proto/tests/program_state.rs
+++ b/crates/proto/tests/program_state.rs
@@ -92,7 +92,7 @@
         mode,
         known_prefix: KnownPrefix::default(),
         messages: vec![user(text)],
-        wanted_output: 60,
+        max_output_tokens: 60,
         limits: BudgetLimits {
             turns: 10,
             input_tokens: 1000,
@@ -101,8 +101,8 @@
             sub_agents: 2,
         },
         runner: Runner { node: NodeId(1), incarnation: Incarnation(1) },
-        wait_until: START + Duration::from_secs(10),
-        run_limit: Duration::from_secs(30),
+        wait_deadline: START + Duration::from_secs(10),
+        run_timeout: Duration::from_secs(30),
     }))
 }
 
@@ -123,7 +123,7 @@
 
 fn refusal(replies: &[(CallId, Reply)]) -> ResultCode {
     match replies {
-        [(_, Reply::Refused(problem))] => problem.code,
+        [(_, Reply::Rejected(problem))] => problem.code,
         other => panic!("expected one refusal, got {other:?}"),
     }
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -96,7 +96,7 @@
 
 impl Replica {
     /// Creates an initial replica of a new group with this configuration.
-    pub fn found(
+    pub fn bootstrap(
         own_id: ReplicaId,
         configuration: Configuration,
         settings: ReplicaSettings,
@@ -129,7 +129,7 @@
 
     /// Creates an empty replica that waits for a leader to send it the log.
     pub fn join(own_id: ReplicaId, settings: ReplicaSettings, seed: u64, now: Timestamp) -> Self {
-        Self::found(own_id, Configuration::default(), settings, seed, now)
+        Self::bootstrap(own_id, Configuration::default(), settings, seed, now)
     }
 
     /// Current role.
--- a/crates/replication/tests/invariants.rs
+++ b/crates/replication/tests/invariants.rs
@@ -16,7 +16,7 @@
 
 fn new_replica(node: u32) -> Replica {
     let voters = Configuration::of_voters([replica_id(1), replica_id(2), replica_id(3)]);
-    Replica::found(replica_id(node), voters, ReplicaSettings::default(), u64::from(node), START)
+    Replica::bootstrap(replica_id(node), voters, ReplicaSettings::default(), u64::from(node), START)
 }
 
 fn vote_request(term: u64) -> Message {
--- a/crates/shard/src/replica.rs
+++ b/crates/shard/src/replica.rs
@@ -74,7 +74,7 @@
 
 impl ProgramShard {
     /// Creates a replica of a new shard whose initial configuration is given.
-    pub fn found(
+    pub fn bootstrap(
         id: ShardId,
         own_id: ReplicaId,
         configuration: Configuration,
@@ -82,7 +82,7 @@
         seed: u64,
         now: Timestamp,
     ) -> Self {
-        let replica = Replica::found(own_id, configuration, settings.replica, seed, now);
+        let replica = Replica::bootstrap(own_id, configuration, settings.replica, seed, now);
         Self::with_replica(id, own_id, replica, settings)
     }
 
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -92,7 +92,7 @@
             }
             CallerRequest::Service { key, body } => {
                 let Some(key) = ledger_key(key) else { return };
-                let begin = BeginService { call, key, request: [*body; 16], runner, run_limit: RUN_LIMIT };
+                let begin = BeginService { call, key, request: [*body; 16], runner, run_timeout: RUN_LIMIT };
                 (Command::BeginService(begin), COMMIT_TIME)
             }
             CallerRequest::End { program } => {
@@ -259,7 +259,7 @@
             (Stage::Abandoning, _) => {
                 self.nodes[node].tasks.remove(&call);
             }
-            (_, Reply::Refused(problem)) => self.refuse(node, call, problem),
+            (_, Reply::Rejected(problem)) => self.refuse(node, call, problem),
             (_, Reply::Abandoned) => {
                 let problem = Problem::unknown(ResultCode::NotCommitted, "the call was given up meanwhile");
                 self.refuse(node, call, problem);
@@ -507,7 +507,7 @@
             let problem = Problem::not_run(ResultCode::BackEndCut, "the service's answer is lost");
             let problem = problem.with_ran(machine.ran());
             self.refuse(node, call, problem);
-            self.settle(node, task, Command::LoseService { key, call });
+            self.settle(node, task, Command::MarkServiceUnknown { key, call });
             return;
         }
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
@@ -544,7 +544,7 @@
         mode: request.mode,
         known_prefix: KnownPrefix::default(),
         messages: request.messages.clone(),
-        wanted_output: request.wanted_output,
+        max_output_tokens: request.wanted_output,
         limits: BudgetLimits {
             turns: 100,
             input_tokens: 1_000_000,
@@ -553,8 +553,8 @@
             sub_agents: 0,
         },
         runner,
-        wait_until: now + TURN_WAIT,
-        run_limit: RUN_LIMIT,
+        wait_deadline: now + TURN_WAIT,
+        run_timeout: RUN_LIMIT,
     }
 }
 
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use sumacdrift_config::InForce;
+use sumacdrift_config::CurrentConfiguration;
 use sumacdrift_program::Runner;
 use sumacdrift_replication::{Candidate, ReplicaId};
 use sumacdrift_scheduling::{EngineQueue, QueueSettings};
@@ -49,7 +49,7 @@
     pub(crate) waiting: BTreeMap<CallId, Waiter>,
     pub(crate) queues: BTreeMap<usize, EngineQueue>,
     pub(crate) queue_waiting: BTreeMap<CallId, Waiter>,
-    pub(crate) in_force: InForce<SimConfiguration>,
+    pub(crate) in_force: CurrentConfiguration<SimConfiguration>,
     pub(crate) heard: BTreeMap<usize, Heard>,
     /// Lives that a later one has replaced.
     replaced: BTreeSet<ReplicaId>,
@@ -70,7 +70,7 @@
             waiting: BTreeMap::new(),
             queues: BTreeMap::new(),
             queue_waiting: BTreeMap::new(),
-            in_force: InForce::default(),
+            in_force: CurrentConfiguration::default(),
             heard: BTreeMap::new(),
             replaced: BTreeSet::new(),
             leader: None,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -178,7 +178,7 @@
                 let configuration = Configuration::of_voters(founders.iter().copied());
                 let (own, seed) = (self.nodes[index].replica(), self.random.random());
                 let settings = shard_settings();
-                let shard = ProgramShard::found(ShardId(0), own, configuration, settings, seed, self.now);
+                let shard = ProgramShard::bootstrap(ShardId(0), own, configuration, settings, seed, self.now);
                 self.nodes[index].shard = Some(shard);
             }
             self.start_timers(index);
@@ -428,7 +428,7 @@
 
     fn offer(&mut self, node: usize, configuration: SimConfiguration) {
         let leaving = configuration.leaving.clone();
-        if !self.nodes[node].in_force.offer(configuration) {
+        if !self.nodes[node].in_force.replace_if_newer(configuration) {
             return;
         }
         let engines: Vec<usize> = self.nodes[node].queues.keys().copied().collect();
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -29,12 +29,12 @@
             let call = CallId(self.random.random());
             self.nodes[leader].waiting.remove(&call);
             let Some(shard) = self.nodes[leader].shard.as_mut() else { return };
-            if shard.command(Command::ListGone { call, programs }, now).is_err() {
+            if shard.command(Command::ListEnded { call, programs }, now).is_err() {
                 return;
             }
             for output in shard.take_outputs() {
                 match output {
-                    ShardOutput::Reply { reply: Reply::Gone(gone), .. } => {
+                    ShardOutput::Reply { reply: Reply::Ended(gone), .. } => {
                         for program in gone {
                             self.memory[engine].remove(&program);
                         }
--- a/crates/simulation/src/world/disturbances.rs
+++ b/crates/simulation/src/world/disturbances.rs
@@ -134,7 +134,8 @@
             let founders = (0..REPLICAS).map(|index| self.nodes[index].replica());
             let configuration = Configuration::of_voters(founders.collect::<Vec<_>>());
             let own = self.nodes[node].replica();
-            let shard = ProgramShard::found(ShardId(0), own, configuration, shard_settings(), 7, self.now);
+            let shard =
+                ProgramShard::bootstrap(ShardId(0), own, configuration, shard_settings(), 7, self.now);
             self.nodes[node].shard = Some(shard);
         }
         self.start_timers(node);
--- a/crates/storage/src/catch_up.rs
+++ b/crates/storage/src/catch_up.rs
@@ -33,7 +33,7 @@
             MemberRead::Failed(answer) => {
                 warn!(host.logger(), "member could not be read"; "event" => "catch_up_failed",
                     "member" => &member.node, "epoch" => group.epoch, "answer" => %answer,
-                    "sources_left" => host.replica().sources_left());
+                    "sources_left" => host.replica().remaining_sources());
                 continue;
             }
             MemberRead::NeverVoted => {
@@ -43,7 +43,7 @@
                 record
             }
             MemberRead::Complete { records } => {
-                let record = host.replica().source_read(&member.node, group.epoch);
+                let record = host.replica().record_source_read(&member.node, group.epoch);
                 info!(host.logger(), "member read"; "event" => "catch_up_read", "member" => &member.node,
                     "epoch" => group.epoch, "records" => records, "votes_now" => host.is_voting());
                 record
@@ -108,7 +108,7 @@
         };
         after = page.next.clone();
         records += page.records.len();
-        let missing = host.replica().lacking(&page);
+        let missing = host.replica().missing_contents(&page);
         if !read_contents(host, transport, group, member, &missing).await || !apply_page(host, page).await {
             return MemberRead::Failed(MemberAnswer::Failed);
         }
@@ -140,6 +140,6 @@
 
 /// Applies a page; returns whether its new records are durable.
 async fn apply_page(host: &ReplicaHost, page: Page) -> bool {
-    let records = host.replica().take_page(page, unix_millis());
+    let records = host.replica().merge_page(page, unix_millis());
     host.commit(records).await.is_ok()
 }
--- a/crates/storage/src/client.rs
+++ b/crates/storage/src/client.rs
@@ -118,14 +118,14 @@
     }
 
     /// Sets the consumer of the views in replies. Only the first call has an effect.
-    pub fn tell_views_to(&self, sink: Arc<dyn ViewSink>) {
+    pub fn set_view_sink(&self, sink: Arc<dyn ViewSink>) {
         let _ = self.views.set(sink);
     }
 
     /// Sets the relays to members that this node cannot reach.
-    pub fn learn_relays(&self, relays: Vec<SocketAddr>) {
+    pub fn set_relays(&self, relays: Vec<SocketAddr>) {
         if self.off.allows(Mechanism::Relays) {
-            self.member_client.routes().learn_relays(relays);
+            self.member_client.routes().set_relays(relays);
         }
     }
 
@@ -150,16 +150,16 @@
     }
 
     /// Adopts a group if it is newer.
-    pub fn learn(&self, group: Group) {
+    pub fn adopt_group(&self, group: Group) {
         let (number, epoch, members) = (group.number, group.epoch, group.members.len());
-        if self.map.learn(group) {
+        if self.map.adopt_newer(group) {
             info!(self.logger, "ledger group adopted"; "event" => "group_adopted", "group" => number,
                 "epoch" => epoch, "members" => members);
         }
     }
 
     /// Adopts the groups that are newer.
-    pub fn learn_map(&self, map: &GroupMap) {
+    pub fn adopt_map(&self, map: &GroupMap) {
         if self.map.merge(map) {
             let epochs: Vec<String> = map.groups().iter().map(|group| group.epoch.to_string()).collect();
             info!(self.logger, "ledger groups adopted"; "event" => "groups_adopted",
@@ -169,11 +169,11 @@
 
     /// Asks seed addresses for the groups, all at once; returns after the first usable reply, or when all
     /// have replied or timed out.
-    pub async fn learn_from(&self, seeds: &[SocketAddr]) {
+    pub async fn fetch_map_from(&self, seeds: &[SocketAddr]) {
         let mut requests: FuturesUnordered<_> = seeds.iter().map(|seed| self.ask_for_map(*seed)).collect();
         while let Some(map) = requests.next().await {
             if let Some(map) = map.filter(|map| !map.is_empty()) {
-                self.learn_map(&map);
+                self.adopt_map(&map);
                 return;
             }
         }
@@ -232,12 +232,12 @@
     }
 
     /// Whether news of this node go to the board of its zone instead of along with each request.
-    pub fn tells_board(&self) -> bool {
+    pub fn uses_zone_board(&self) -> bool {
         uses_zone_boards(&self.map())
     }
 
     /// Sends news to the board of the own zone, and passes the view in its reply to the sink.
-    pub async fn tell_board(&self, news: Bytes) {
+    pub async fn report_to_zone_board(&self, news: Bytes) {
         let map = self.map();
         let now = Instant::now();
         let boards = boards_by_distance(&map, &self.location);
@@ -289,7 +289,7 @@
             encode_with_news(group, RequestKind::Begin(request), begin.news.clone())
         };
         group_request.start(group.majority(), &request_for);
-        let mut quorum = BeginQuorum::new(group.majority(), begin.budget_tokens, begin.turn.most_tokens);
+        let mut quorum = BeginQuorum::new(group.majority(), begin.budget_tokens, begin.turn.max_tokens);
         loop {
             let Some(answer) = group_request.next_reply(&request_for).await else {
                 group_request.report_undecided(&begin.turn.turn, &begin.turn.program);
@@ -324,7 +324,7 @@
     fn report_refusal(&self, group: &Group, begin: &BeginTurn, quorum: &BeginQuorum, why: &'static str) {
         info!(self.logger, "ledger refused a turn"; "event" => "ledger_refusal", "call" => &begin.turn.turn,
             "program" => &begin.turn.program, "why" => why, "counted_tokens" => quorum.counted_tokens(),
-            "most_tokens" => begin.turn.most_tokens, "budget_tokens" => begin.budget_tokens,
+            "most_tokens" => begin.turn.max_tokens, "budget_tokens" => begin.budget_tokens,
             "votes" => quorum.votes(), "epoch" => group.epoch);
     }
 
@@ -396,7 +396,7 @@
             return false;
         }
         if let Some(newer) = Group::from_message(message).filter(|newer| newer.number == group.number) {
-            self.learn(newer);
+            self.adopt_group(newer);
         }
         self.map().group(group.number).is_some_and(|known| known.epoch > group.epoch)
     }
--- a/crates/storage/src/feed_host.rs
+++ b/crates/storage/src/feed_host.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use prost::Message;
 use slog::{Logger, info};
-use sumacdrift_dissemination::{Feed, FollowRequest, Item, ItemKind, Listed, Snapshot};
+use sumacdrift_dissemination::{Feed, FollowRequest, Item, ItemKind, ItemList, Snapshot};
 use sumacdrift_types::Timestamp;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -18,12 +18,12 @@
 
 /// Configuration age above which a confirmation wakes followers: they may be about to reject calls, or have
 /// begun to.
-pub const CONFIRMATION_AWAITED_AFTER: Duration = Duration::from_millis(2500);
+pub const CONFIRMATION_NOTIFY_AGE: Duration = Duration::from_millis(2500);
 
 /// A feed that other nodes follow.
 pub struct FeedHost {
     feed: Mutex<Feed>,
-    news: watch::Sender<u64>,
+    change_count: watch::Sender<u64>,
     /// Since when no merged feed is of a node that hears from the store.
     without_current_peer_since: Mutex<Option<Instant>>,
     started: Instant,
@@ -35,10 +35,10 @@
     pub fn new(snapshot: Snapshot, logger: Logger) -> Self {
         let mut feed = Feed::new(rand::random());
         feed.restore(snapshot);
-        let news = watch::Sender::new(0);
+        let change_count = watch::Sender::new(0);
         Self {
             feed: Mutex::new(feed),
-            news,
+            change_count,
             without_current_peer_since: Mutex::default(),
             started: Instant::now(),
             logger,
@@ -46,10 +46,10 @@
     }
 
     /// Replaces all items of a kind by a complete listing.
-    pub fn list(&self, listed: Listed) {
+    pub fn replace_kind(&self, list: ItemList) {
         let now = self.now();
-        let (kind, outage) = (listed.kind, listed.outage);
-        if self.update(|feed| feed.list(listed, now)) {
+        let (kind, outage) = (list.kind, list.outage);
+        if self.update(|feed| feed.apply_list(list, now)) {
             info!(self.logger, "store listed"; "event" => "store_listed", "kind" => ?kind,
                 "outage_ms" => outage.as_millis() as u64, "position" => self.feed().position());
         }
@@ -66,8 +66,8 @@
     }
 
     /// Records that the store does not answer about a kind.
-    pub fn store_failed(&self, kind: ItemKind) {
-        self.update(|feed| feed.store_failed(kind));
+    pub fn record_store_failure(&self, kind: ItemKind) {
+        self.update(|feed| feed.record_store_failure(kind));
     }
 
     /// Records that the held configuration was the newest in the store at this time. Followers ask often
@@ -76,7 +76,7 @@
         // A time before the start of this process has no position on its clock.
         let Some(since_start) = as_of.checked_duration_since(self.started) else { return };
         let as_of = Timestamp::default() + since_start;
-        let should_notify = self.configuration_age().is_none_or(|age| age > CONFIRMATION_AWAITED_AFTER);
+        let should_notify = self.configuration_age().is_none_or(|age| age > CONFIRMATION_NOTIFY_AGE);
         self.update(|feed| {
             feed.confirm_configuration(as_of);
             should_notify
@@ -98,8 +98,8 @@
     }
 
     /// Records that the feed of another node no longer replies.
-    pub(crate) fn peer_lost(&self, life: u64) {
-        self.update(|feed| feed.peer_lost(life));
+    pub(crate) fn remove_peer(&self, incarnation: u64) {
+        self.update(|feed| feed.remove_peer(incarnation));
     }
 
     /// All items, with the highest revision of the store.
@@ -135,8 +135,8 @@
     }
 
     /// Notifies of changes; the value is their count.
-    pub fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.change_count.subscribe()
     }
 
     /// Answers a follow request: at once if there are changes for it, otherwise after the next one or the
@@ -144,11 +144,11 @@
     pub async fn answer(&self, request: Bytes) -> Bytes {
         let request = FollowRequest::decode(request).unwrap_or_default();
         let asked = Instant::now();
-        let mut news = self.news.subscribe();
-        if !self.feed().has_news_for(&request) {
+        let mut change_count = self.change_count.subscribe();
+        if !self.feed().has_changes_for(&request) {
             let wait = Duration::from_millis(request.wait_millis).min(MAX_WAIT);
             // A reply without changes is sent at the timeout.
-            let _ = tokio::time::timeout(wait, news.changed()).await;
+            let _ = tokio::time::timeout(wait, change_count.changed()).await;
         }
         let held = asked.elapsed();
         let mut changes = self.feed().changes(&request, self.now());
@@ -159,7 +159,7 @@
     fn update(&self, change: impl FnOnce(&mut Feed) -> bool) -> bool {
         let is_changed = change(&mut self.feed());
         if is_changed {
-            self.news.send_modify(|changes| *changes += 1);
+            self.change_count.send_modify(|changes| *changes += 1);
         }
         is_changed
     }
