--- a/crates/storage/src/feed_peers.rs
+++ b/crates/storage/src/feed_peers.rs
@@ -95,17 +95,18 @@
         let (feed, transport, logger) =
             (Arc::clone(&self.feed), Arc::clone(&self.transport), self.logger.clone());
         tokio::spawn(async move {
-            let mut lost = PeerLostOnDrop { feed: Arc::clone(&feed), life: 0 };
+            let mut lost = RemovePeerOnDrop { feed: Arc::clone(&feed), incarnation: 0 };
             let mut after = 0;
-            while let Some(reply) = follow_feed(&transport, source, lost.life, after, FEED_WAIT).await {
+            while let Some(reply) = follow_feed(&transport, source, lost.incarnation, after, FEED_WAIT).await
+            {
                 let changes = &reply.changes;
-                if lost.life == 0 {
+                if lost.incarnation == 0 {
                     info!(logger, "merging the feed of a peer"; "event" => "peer_feed", "feed" => %source,
                         "hears_store" => changes.hears_store);
                 }
-                let has_changes = changes.is_whole || !changes.changes.is_empty();
+                let has_changes = changes.is_full || !changes.changes.is_empty();
                 let hears_store = changes.hears_store;
-                lost.update_life(changes);
+                lost.update_incarnation(changes);
                 after = changes.at;
                 feed.merge(reply);
                 if !hears_store && !has_changes {
@@ -119,23 +120,23 @@
 }
 
 /// Reports a feed as lost when its task ends or is aborted.
-struct PeerLostOnDrop {
+struct RemovePeerOnDrop {
     feed: Arc<FeedHost>,
-    life: u64,
+    incarnation: u64,
 }
 
-impl PeerLostOnDrop {
-    /// Notes the life of the feed that a reply came from; a restarted feed counts as lost and found again.
-    fn update_life(&mut self, changes: &Changes) {
-        if self.life != changes.life && self.life != 0 {
-            self.feed.peer_lost(self.life);
+impl RemovePeerOnDrop {
+    /// Notes the incarnation of the feed that a reply came from; a restarted feed counts as lost and found again.
+    fn update_incarnation(&mut self, changes: &Changes) {
+        if self.incarnation != changes.incarnation && self.incarnation != 0 {
+            self.feed.remove_peer(self.incarnation);
         }
-        self.life = changes.life;
+        self.incarnation = changes.incarnation;
     }
 }
 
-impl Drop for PeerLostOnDrop {
+impl Drop for RemovePeerOnDrop {
     fn drop(&mut self) {
-        self.feed.peer_lost(self.life);
+        self.feed.remove_peer(self.incarnation);
     }
 }
--- a/crates/storage/src/follower.rs
+++ b/crates/storage/src/follower.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use prost::Message;
 use slog::{Logger, info};
-use sumacdrift_dissemination::{Changes, FollowRequest, Heard, ItemKind, NextSource, SourceChoice};
+use sumacdrift_dissemination::{Changes, FeedOutcome, FollowRequest, ItemKind, NextSource, SourceChoice};
 use sumacdrift_proto::{Request, Response};
 use sumacdrift_transport::Transport;
 use sumacdrift_types::{Location, Timestamp};
@@ -33,14 +33,14 @@
 /// Consumer of what a follower learns.
 pub trait FollowerSink: Send + Sync + 'static {
     /// Applies changes of a feed.
-    fn take(&self, changes: Changes);
+    fn apply(&self, changes: Changes);
     /// Applies the newer configuration and evacuations of a feed that does not hear the store. Items missing
     /// there are not deleted.
-    fn take_newer(&self, changes: &Changes);
+    fn apply_newer(&self, changes: &Changes);
     /// Records that the configuration applied last was the newest in the store at this time.
-    fn confirmed(&self, as_of: Instant);
+    fn record_confirmation(&self, as_of: Instant);
     /// Whether anything is known, from whatever source.
-    fn knows_anything(&self) -> bool;
+    fn has_data(&self) -> bool;
     /// Starts to follow the store itself; dropping the set ends it.
     fn follow_store(&self) -> JoinSet<()>;
 }
@@ -53,7 +53,7 @@
     /// Location of this node; near feeds are preferred.
     pub location: Location,
     /// How long to wait for feeds at the start before the store is followed.
-    pub start_patience: Duration,
+    pub start_timeout: Duration,
 }
 
 /// Follows the feeds of the ledger's members.
@@ -64,7 +64,7 @@
     sink: Arc<dyn FollowerSink>,
     logger: Logger,
     started: Instant,
-    life: u64,
+    incarnation: u64,
     after: u64,
     source: Option<SocketAddr>,
     store: Option<JoinSet<()>>,
@@ -88,7 +88,7 @@
             sink,
             logger,
             started: Instant::now(),
-            life: 0,
+            incarnation: 0,
             after: 0,
             source: None,
             store: None,
@@ -98,7 +98,7 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut choice = SourceChoice::new(self.now(), self.settings.start_patience);
+        let mut choice = SourceChoice::new(self.now(), self.settings.start_timeout);
         loop {
             let feeds = self.feeds();
             match choice.next(feeds.len(), self.now()) {
@@ -111,9 +111,9 @@
                     tokio::time::sleep(until.since(self.now())).await;
                 }
                 NextSource::Feed { place, may_wait } => {
-                    let heard = self.ask_feed_and_apply(feeds[place], may_wait).await;
-                    choice.heard(heard);
-                    if heard != Heard::Current {
+                    let outcome = self.ask_feed_and_apply(feeds[place], may_wait).await;
+                    choice.record_outcome(outcome);
+                    if outcome != FeedOutcome::Current {
                         tokio::time::sleep(RETRY_PAUSE).await;
                     }
                 }
@@ -128,31 +128,31 @@
         order.into_iter().map(|member| member.address).collect()
     }
 
-    async fn ask_feed_and_apply(&mut self, feed: SocketAddr, may_wait: bool) -> Heard {
+    async fn ask_feed_and_apply(&mut self, feed: SocketAddr, may_wait: bool) -> FeedOutcome {
         let wait = if may_wait { FEED_WAIT } else { Duration::ZERO };
         let reply = self.request_with_fallback(feed, wait).await;
         let Some(FeedReply { changes, configuration_confirmed }) = reply else { return self.mark_lost(feed) };
         self.ledger.record_any_reply();
-        let heard = if changes.is_current { Heard::Current } else { Heard::Stale };
-        let is_same_feed = changes.life == self.life;
+        let outcome = if changes.is_current { FeedOutcome::Current } else { FeedOutcome::Stale };
+        let is_same_feed = changes.incarnation == self.incarnation;
         // A feed without the store may be stale; it is followed only by nodes that know nothing. Its
         // configuration comes with its age and is used if it is newer, without waiting for a node that hears
         // all of the store.
-        if heard == Heard::Stale && !is_same_feed && self.sink.knows_anything() {
-            self.sink.take_newer(&changes);
+        if outcome == FeedOutcome::Stale && !is_same_feed && self.sink.has_data() {
+            self.sink.apply_newer(&changes);
             self.report_confirmation(configuration_confirmed);
-            return heard;
+            return outcome;
         }
-        if heard == Heard::Current {
+        if outcome == FeedOutcome::Current {
             self.record_current_feed(feed);
         }
-        (self.life, self.after) = (changes.life, changes.at);
-        if changes.is_whole || !changes.changes.is_empty() {
-            self.learn_groups(&changes);
-            self.sink.take(changes);
+        (self.incarnation, self.after) = (changes.incarnation, changes.at);
+        if changes.is_full || !changes.changes.is_empty() {
+            self.adopt_groups(&changes);
+            self.sink.apply(changes);
         }
         self.report_confirmation(configuration_confirmed);
-        heard
+        outcome
     }
 
     /// Asks a feed directly, and through a relay if it does not reply. Otherwise a node that is partitioned
@@ -160,17 +160,17 @@
     async fn request_with_fallback(&mut self, feed: SocketAddr, wait: Duration) -> Option<FeedReply> {
         let uses_relay = self.relay_until.is_some_and(|until| until > Instant::now());
         if !uses_relay {
-            let reply = follow_feed(&self.transport, feed, self.life, self.after, wait).await;
+            let reply = follow_feed(&self.transport, feed, self.incarnation, self.after, wait).await;
             if reply.is_some() {
                 return reply;
             }
         }
         // A node that knows nothing would be sent a full snapshot. When all nodes start at once, members are
         // late because they serve snapshots to all, and relayed requests would add to that load.
-        if !self.sink.knows_anything() {
+        if !self.sink.has_data() {
             return None;
         }
-        let request = Bytes::from(follow_request(self.life, self.after, wait).encode_to_vec());
+        let request = Bytes::from(follow_request(self.incarnation, self.after, wait).encode_to_vec());
         let sent_at = Instant::now();
         let answer =
             self.ledger.member_client().follow_via_relay(feed, request, wait + FEED_TIMEOUT_MARGIN).await;
@@ -184,15 +184,15 @@
 
     fn report_confirmation(&self, as_of: Option<Instant>) {
         if let Some(as_of) = as_of {
-            self.sink.confirmed(as_of);
+            self.sink.record_confirmation(as_of);
         }
     }
 
-    fn learn_groups(&self, changes: &Changes) {
+    fn adopt_groups(&self, changes: &Changes) {
         let items = changes.changes.iter().filter_map(|change| change.item.as_ref());
         for map in items.filter(|item| item.known_kind() == Some(ItemKind::Groups)).filter_map(decode_groups)
         {
-            self.ledger.learn_map(&map);
+            self.ledger.adopt_map(&map);
         }
     }
 
@@ -205,19 +205,19 @@
         self.store = None;
     }
 
-    fn mark_lost(&mut self, feed: SocketAddr) -> Heard {
+    fn mark_lost(&mut self, feed: SocketAddr) -> FeedOutcome {
         if self.source == Some(feed) {
             info!(self.logger, "feed lost"; "event" => "dependency_lost", "dependency" => "feed",
                 "feed" => %feed, "position" => self.after);
             self.source = None;
         }
-        Heard::Nothing
+        FeedOutcome::NoResponse
     }
 
     fn start_following_store(&mut self) {
         if self.store.is_none() {
             info!(self.logger, "following the store directly"; "event" => "store_followed",
-                "knows_anything" => self.sink.knows_anything(), "position" => self.after);
+                "knows_anything" => self.sink.has_data(), "position" => self.after);
             self.store = Some(self.sink.follow_store());
         }
     }
@@ -239,25 +239,25 @@
 pub(crate) async fn follow_feed(
     transport: &Transport,
     feed: SocketAddr,
-    life: u64,
+    incarnation: u64,
     after: u64,
     wait: Duration,
 ) -> Option<FeedReply> {
-    let request = FollowRequest { takes_parts: true, ..follow_request(life, after, wait) };
+    let request = FollowRequest { takes_parts: true, ..follow_request(incarnation, after, wait) };
     let mut reply = request_part(transport, feed, request, wait + FEED_TIMEOUT_MARGIN).await?;
-    while let Some(behind) = reply.changes.more_behind.take() {
+    while let Some(behind) = reply.changes.last_item_of_part.take() {
         let request = FollowRequest {
             part_behind: Some(behind),
             takes_parts: true,
-            ..follow_request(reply.changes.life, 0, Duration::ZERO)
+            ..follow_request(reply.changes.incarnation, 0, Duration::ZERO)
         };
         let part = request_part(transport, feed, request, PART_TIMEOUT).await?.changes;
-        if part.life != reply.changes.life {
+        if part.incarnation != reply.changes.incarnation {
             return None;
         }
         // Changes made since the first part follow from its position on.
         reply.changes.changes.extend(part.changes);
-        reply.changes.more_behind = part.more_behind;
+        reply.changes.last_item_of_part = part.last_item_of_part;
     }
     Some(reply)
 }
@@ -276,9 +276,9 @@
     }
 }
 
-fn follow_request(life: u64, after: u64, wait: Duration) -> FollowRequest {
+fn follow_request(incarnation: u64, after: u64, wait: Duration) -> FollowRequest {
     let wait_millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
-    FollowRequest { life, after, wait_millis, ..FollowRequest::default() }
+    FollowRequest { incarnation, after, wait_millis, ..FollowRequest::default() }
 }
 
 fn decode_reply(answer: Bytes, sent_at: Instant) -> Option<FeedReply> {
--- a/crates/storage/src/group_maintenance.rs
+++ b/crates/storage/src/group_maintenance.rs
@@ -8,7 +8,8 @@
 
 use slog::{info, warn};
 use sumacdrift_ledger::{
-    Candidate, Capacity, ChangeReason, Group, GroupMap, GroupPolicy, Member, Patience, PlaceStep,
+    Candidate, Capacity, ChangeReason, Group, GroupMap, GroupPolicy, Member, MembershipDecision,
+    ReplacementPolicy,
 };
 use sumacdrift_transport::Transport;
 use sumacdrift_types::Places;
@@ -38,9 +39,9 @@
 /// Interval of expiry and snapshot checks.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Settings of group maintenance.
+/// Settings of [`GroupMaintenance`].
 #[derive(Debug, Clone)]
-pub struct UpkeepSettings {
+pub struct GroupMaintenanceSettings {
     /// This replica as a member.
     pub own: Member,
     /// Capacity of its machine.
@@ -51,12 +52,12 @@
     pub places: Arc<Places>,
     /// Time within which a machine that starts empty must vote in place of a lost one. Until then the
     /// deployment counts the loss, and another one may follow after it.
-    pub complete_within: Duration,
+    pub catch_up_time: Duration,
 }
 
 /// Maintains the group membership of one replica.
-pub struct Upkeep {
-    settings: UpkeepSettings,
+pub struct GroupMaintenance {
+    settings: GroupMaintenanceSettings,
     host: Arc<ReplicaHost>,
     transport: Arc<Transport>,
     directory: Arc<dyn GroupDirectory>,
@@ -68,16 +69,16 @@
     is_retirement_reported: bool,
     has_handed_over: bool,
     /// Departed members without a replacement, until the remaining members were read.
-    departed: Vec<String>,
+    removed: Vec<String>,
     /// Number of machines that may found the groups, and since when it is unchanged.
     founder_count: usize,
     founder_count_since: Instant,
 }
 
-impl Upkeep {
+impl GroupMaintenance {
     /// Creates the maintenance task of a replica.
     pub fn new(
-        settings: UpkeepSettings,
+        settings: GroupMaintenanceSettings,
         host: Arc<ReplicaHost>,
         transport: Arc<Transport>,
         directory: Arc<dyn GroupDirectory>,
@@ -97,7 +98,7 @@
             change_wanted_since: None,
             is_retirement_reported: false,
             has_handed_over: false,
-            departed: Vec::new(),
+            removed: Vec::new(),
             founder_count: 0,
             founder_count_since: started,
         }
@@ -106,8 +107,8 @@
     /// Runs until the process ends.
     pub async fn run(mut self) {
         info!(self.host.logger(), "group maintenance started"; "event" => "upkeep_begun",
-            "complete_within_ms" => self.settings.complete_within.as_millis() as u64,
-            "lost_after_ms" => self.patience().lost_after().as_millis() as u64);
+            "complete_within_ms" => self.settings.catch_up_time.as_millis() as u64,
+            "lost_after_ms" => self.replacement_policy().lost_after().as_millis() as u64);
         // Aborted when this task ends.
         let mut watcher_task = JoinSet::new();
         watcher_task.spawn(Arc::clone(&self.watcher).run());
@@ -153,12 +154,12 @@
     /// Reads the remaining members after one departed without a handover; a drained machine does hand over.
     async fn reread_after_departure(&mut self, view: &DirectoryView) {
         let is_retired = |node: &String| view.retirements.iter().any(|retirement| retirement.node == *node);
-        self.departed.retain(|node| !is_retired(node));
-        if self.departed.is_empty() || !self.host.is_voting() {
+        self.removed.retain(|node| !is_retired(node));
+        if self.removed.is_empty() || !self.host.is_voting() {
             return;
         }
         if reread_others(&self.host, &self.transport, &self.settings.own.node).await {
-            self.departed.clear();
+            self.removed.clear();
         }
     }
 
@@ -175,7 +176,7 @@
             (before, replica.follow_map(map), replica.group().clone())
         };
         let Some(record) = record else { return };
-        self.departed.extend(group.departed_since(&before));
+        self.removed.extend(group.removed_since(&before));
         info!(self.host.logger(), "group adopted"; "event" => "group_adopted", "group" => group.number,
             "epoch" => group.epoch, "members" => format_members(&group), "voting" => self.host.is_voting());
         if let Err(failure) = self.host.commit(vec![record]).await {
@@ -224,7 +225,7 @@
         if !is_first && self.started.elapsed() < MAX_FOUNDING_WAIT + FOUNDERS_SETTLE_TIME {
             return;
         }
-        let map = self.settings.policy.founding_map(&candidates);
+        let map = self.settings.policy.initial_group_map(&candidates);
         self.replace_map(map, None, "founded").await;
     }
 
@@ -247,20 +248,20 @@
         if retirement.is_some() {
             return;
         }
-        if stored.map.seat_of(&own.node).is_none() && !self.watcher.has_completed_round() {
+        if stored.map.group_of_member(&own.node).is_none() && !self.watcher.has_completed_round() {
             return;
         }
-        let step = self.settings.policy.place_step(
+        let step = self.settings.policy.decide_membership(
             &self.settings.places,
             &stored.map,
             &own,
             &self.watcher.watch(),
-            self.patience(),
+            self.replacement_policy(),
             self.watcher.now(),
         );
         match step {
-            PlaceStep::Stay => self.change_wanted_since = None,
-            PlaceStep::Change { group, reason } => {
+            MembershipDecision::Keep => self.change_wanted_since = None,
+            MembershipDecision::Change { group, reason } => {
                 let change_wanted_since = *self.change_wanted_since.get_or_insert_with(Instant::now);
                 if change_wanted_since.elapsed() >= change_delay(&group, &own, reason) {
                     self.change_wanted_since = None;
@@ -273,23 +274,23 @@
     /// Requests the change that gives this machine a seat, or updates its address.
     async fn request_seat(&mut self, stored: &StoredMap, group: Group, reason: ChangeReason) {
         if reason == ChangeReason::Joined {
-            let record = self.host.replica().join_as_new(group.epoch);
+            let record = self.host.replica().prepare_join(group.epoch);
             if let Err(failure) = self.host.commit(vec![record]).await {
                 warn!(self.host.logger(), "not joining: the record could not be made durable"; "event" => "commit_failed",
                     "error" => %failure);
                 return;
             }
         }
-        self.replace_map(stored.map.with(group), Some(stored.revision), reason.name()).await;
+        self.replace_map(stored.map.with_group(group), Some(stored.revision), reason.name()).await;
     }
 
     /// How long members may be silent until this machine replaces one, or as a member removes one that
     /// stopped.
-    fn patience(&self) -> Patience {
+    fn replacement_policy(&self) -> ReplacementPolicy {
         let replica = self.host.replica();
         match replica.is_new() || replica.is_member() {
-            true => Patience::of_new_machine(self.settings.complete_within),
-            false => Patience::LONG,
+            true => ReplacementPolicy::for_new_machine(self.settings.catch_up_time),
+            false => ReplacementPolicy::FOR_EXISTING_MACHINE,
         }
     }
 
@@ -302,7 +303,7 @@
             let reported = self.directory.report_retirement(own.clone(), false).await;
             self.is_retirement_reported = reported.is_ok();
         }
-        let Some(group) = stored.map.seat_of(&own).cloned() else {
+        let Some(group) = stored.map.group_of_member(&own).cloned() else {
             let previous_group = self.host.replica().group().clone();
             self.complete_retirement(&previous_group).await;
             return;
@@ -316,7 +317,7 @@
             return;
         }
         self.host.replica().set_leaving(true);
-        let next = stored.map.with(group.without(&own));
+        let next = stored.map.with_group(group.without_member(&own));
         let is_handed_over = hand_over_records(&self.host, &self.transport, &group, &own).await;
         let has_left = is_handed_over && self.replace_map(next, Some(stored.revision), "leaving").await;
         if !has_left {
--- a/crates/storage/src/handover.rs
+++ b/crates/storage/src/handover.rs
@@ -4,7 +4,7 @@
 
 use sumacdrift_ledger::{
     Group, KEPT_TURNS_CURSOR, Member, PageDetail, PageRequest, Push, Record, ReplyKind, RequestKind,
-    copies_to_make,
+    plan_copies,
 };
 use sumacdrift_transport::Transport;
 
@@ -34,7 +34,7 @@
     for member in group.members.iter().filter(|member| member.node != own_node) {
         recipients.push(Recipient { member, holds: sender.held_by(member).await });
     }
-    let majority = group.without(own_node).majority();
+    let majority = group.without_member(own_node).majority();
     let mut after = String::new();
     loop {
         let page = host.replica().state().page(&after, PageDetail::Keys, unix_millis());
@@ -44,7 +44,7 @@
             }
         }
         let holds: Vec<&BTreeSet<String>> = recipients.iter().map(|recipient| &recipient.holds).collect();
-        let copies = copies_to_make(&page.kept_turns, &holds, majority);
+        let copies = plan_copies(&page.retained_keys, &holds, majority);
         for (recipient, turns) in recipients.iter().zip(copies) {
             if !sender.push_contents(recipient.member, &turns).await {
                 return false;
@@ -73,7 +73,7 @@
             let request = encode(self.group, RequestKind::Page(request));
             let reply = send_request(self.transport, member.address, request, PUSH_TIMEOUT).await;
             let Some(ReplyKind::Page(page)) = reply else { return BTreeSet::new() };
-            held.extend(page.kept_turns);
+            held.extend(page.retained_keys);
             if page.next.is_empty() {
                 return held;
             }
--- a/crates/storage/src/host.rs
+++ b/crates/storage/src/host.rs
@@ -18,7 +18,7 @@
 use sumacdrift_dissemination::Snapshot;
 use sumacdrift_fleet_view::BoardNews;
 use sumacdrift_journal::{
-    Disk, FolderDisk, Journal, JournalError, JournalFailure, JournalSettings, JournalWriter,
+    DirectoryDisk, Disk, Journal, JournalError, JournalFailure, JournalSettings, JournalWriter,
 };
 use sumacdrift_ledger::{
     GroupMap, GroupMessage, GroupNumber, HostAdmission, LedgerReply, LedgerRequest, Member, Record, Replica,
@@ -160,7 +160,7 @@
     seat_requested_at: Mutex<Option<Instant>>,
     offers_seat: AtomicBool,
     /// Since when each unresponsive member has been silent for this node; `None` until it has looked.
-    silences: Mutex<Option<BTreeMap<String, Instant>>>,
+    unresponsive_since: Mutex<Option<BTreeMap<String, Instant>>>,
     /// Members that announced a planned stop, until the watcher takes them.
     planned_stops: Mutex<BTreeSet<String>>,
     journal_failed: CancellationToken,
@@ -175,14 +175,14 @@
 
 impl Drop for QueuedBatch<'_> {
     fn drop(&mut self) {
-        self.host.admission().written(self.host.now());
+        self.host.admission().record_written(self.host.now());
     }
 }
 
 impl ReplicaHost {
     /// Opens the journal in the configured directory and replays it; a dedicated thread writes to it.
     pub async fn open(settings: HostSettings, logger: Logger) -> Result<Arc<Self>, OpenError> {
-        let disk = FolderDisk::open(settings.folder.clone())?;
+        let disk = DirectoryDisk::open(settings.folder.clone())?;
         Self::open_on(disk, JournalWriter::start, settings, logger).await
     }
 
@@ -207,11 +207,11 @@
         // Segments of earlier lives take space until the next snapshot too.
         let snapshot_progress = SnapshotProgress::default();
         snapshot_progress.since_snapshot.store(journal.total_bytes(), Ordering::Relaxed);
-        let first = replica.started();
+        let first = replica.finish_replay();
         let quotas = QuotaHost::new(replica.node());
         replica.expire(unix_millis());
         info!(logger, "journal replayed"; "event" => "journal_replayed", "records" => records,
-            "unreadable" => unreadable, "torn_bytes" => torn_bytes, "programs" => replica.state().programs(),
+            "unreadable" => unreadable, "torn_bytes" => torn_bytes, "programs" => replica.state().program_count(),
             "voting" => replica.is_voting(), "epoch" => replica.group().epoch);
         let snapshot = Snapshot::decode(replica.state().copy().content.clone()).unwrap_or_default();
         let host = Arc::new(Self {
@@ -227,7 +227,7 @@
             admission: Mutex::new(HostAdmission::new(settings.waiting_bytes)),
             seat_requested_at: Mutex::default(),
             offers_seat: AtomicBool::new(false),
-            silences: Mutex::default(),
+            unresponsive_since: Mutex::default(),
             planned_stops: Mutex::default(),
             journal_failed: CancellationToken::new(),
             started: Instant::now(),
@@ -297,7 +297,7 @@
     pub fn follows_store(&self) -> bool {
         let node = self.replica().node().to_owned();
         let map = self.map();
-        match map.seat_of(&node).map(|group| group.number) {
+        match map.group_of_member(&node).map(|group| group.number) {
             Some(0) => true,
             Some(1) => self.feed.time_without_current_peer() >= STAND_IN_AFTER,
             _ => false,
@@ -312,11 +312,11 @@
     /// Keeps a durable copy of the feed, for nodes that start while the store is down. Runs until the process
     /// ends.
     pub async fn keep_feed(self: Arc<Self>) {
-        let mut news = self.feed.news();
-        while news.changed().await.is_ok() {
+        let mut feed_changes = self.feed.subscribe();
+        while feed_changes.changed().await.is_ok() {
             let (number, snapshot) = self.feed.snapshot();
             let content = Bytes::from(snapshot.encode_to_vec());
-            let record = self.replica().keep(StoredCopy { number, content });
+            let record = self.replica().store_copy(StoredCopy { number, content });
             if let Err(failure) = self.commit(record.into_iter().collect()).await {
                 error!(self.logger, "feed copy not durable"; "event" => "commit_failed", "error" => %failure);
             }
@@ -334,13 +334,13 @@
         let replica = self.replica();
         let number = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.metrics.is_voting.set(i64::from(replica.is_voting()));
-        self.metrics.sources_left.set(number(replica.sources_left()));
-        self.metrics.programs.set(number(replica.state().programs()));
-        self.metrics.kept_turns.set(number(replica.state().kept_turns()));
+        self.metrics.sources_left.set(number(replica.remaining_sources()));
+        self.metrics.programs.set(number(replica.state().program_count()));
+        self.metrics.kept_turns.set(number(replica.state().retained_count()));
         self.metrics.epoch.set(i64::try_from(replica.group().epoch).unwrap_or(i64::MAX));
         let seat = replica.is_member().then(|| i64::from(replica.group().number));
         self.metrics.group.set(seat.unwrap_or(NO_SEAT));
-        self.metrics.waiting_bytes.set(number(self.admission().waiting_bytes()));
+        self.metrics.waiting_bytes.set(number(self.admission().queued_bytes()));
     }
 
     pub(crate) fn logger(&self) -> &Logger {
@@ -373,17 +373,17 @@
     }
 
     /// Sets since when unresponsive members have been silent, for status replies.
-    pub(crate) fn set_silences(&self, silences: BTreeMap<String, Instant>) {
-        *self.silences.lock().unwrap_or_else(PoisonError::into_inner) = Some(silences);
+    pub(crate) fn set_unresponsive_since(&self, unresponsive_since: BTreeMap<String, Instant>) {
+        *self.unresponsive_since.lock().unwrap_or_else(PoisonError::into_inner) = Some(unresponsive_since);
     }
 
     /// Adds what this node sees of other members to a status reply.
     fn fill_status(&self, status: &mut StatusReply) {
         status.offers_seat = self.offers_seat.load(Ordering::Relaxed);
-        let silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(silences) = silences.as_ref() else { return };
+        let unresponsive_since = self.unresponsive_since.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(unresponsive_since) = unresponsive_since.as_ref() else { return };
         status.is_watching = true;
-        status.silent = silences
+        status.silent = unresponsive_since
             .iter()
             .map(|(node, since)| {
                 let millis = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
@@ -397,7 +397,7 @@
         let bytes = records.iter().map(Record::encoded_len).sum();
         let Some(done) = self.queue(records) else { return Ok(()) };
         let started = Instant::now();
-        self.admission().queued(bytes, self.now());
+        self.admission().record_enqueued(bytes, self.now());
         let queued_batch = QueuedBatch { host: self };
         let outcome = done.await.unwrap_or_else(|_| Err(JournalFailure::stopped()));
         if outcome.as_ref().is_err_and(|failure| failure.is_final) {
@@ -418,11 +418,11 @@
     /// members.
     fn admits(&self, request: &LedgerRequest) -> bool {
         let class = match request.kind {
-            Some(RequestKind::Begin(_)) => RequestClass::NewWork,
+            Some(RequestKind::Begin(_)) => RequestClass::BeginTurn,
             _ => RequestClass::Other,
         };
         let is_recorded = matches!(request.kind, Some(RequestKind::Begin(_) | RequestKind::End(_)));
-        !is_recorded || self.admission().takes(class, request.encoded_len(), self.now())
+        !is_recorded || self.admission().admits(class, request.encoded_len(), self.now())
     }
 
     fn admission(&self) -> MutexGuard<'_, HostAdmission> {
@@ -466,10 +466,10 @@
 
     async fn snapshot(&self) {
         let (sender, receiver) = oneshot::channel();
-        let on_begun = Box::new(move |number| {
+        let on_started = Box::new(move |number| {
             let _ = sender.send(number);
         });
-        if self.writer.begin_segment(on_begun).is_err() {
+        if self.writer.start_segment(on_started).is_err() {
             return;
         }
         let Ok(Some(number)) = receiver.await else { return };
--- a/crates/storage/src/known_map.rs
+++ b/crates/storage/src/known_map.rs
@@ -19,9 +19,9 @@
     }
 
     /// Adopts one group if it is newer; returns whether it was.
-    pub(crate) fn learn(&self, group: Group) -> bool {
+    pub(crate) fn adopt_newer(&self, group: Group) -> bool {
         let mut known = self.lock();
-        Arc::make_mut(&mut known).learn(group)
+        Arc::make_mut(&mut known).adopt_newer(group)
     }
 
     fn lock(&self) -> MutexGuard<'_, Arc<GroupMap>> {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,6 +1,6 @@
 //! The replicated program ledger: replicas on nodes with a disk, and the client that other nodes use.
 //!
-//! A replica acknowledges a request once its records are durable ([`ReplicaHost`]). [`Upkeep`] founds the
+//! A replica acknowledges a request once its records are durable ([`ReplicaHost`]). [`GroupMaintenance`] founds the
 //! group, joins it, catches up and leaves it. [`LedgerClient`] sends requests to a majority of the members,
 //! hedges late ones, and falls back to a relay ([`RelayHost`]) where it cannot reach a member itself. Group
 //! membership is stored behind the [`GroupDirectory`] port.
@@ -43,14 +43,14 @@
     DirectoryError, DirectoryFuture, DirectoryView, GroupDirectory, Registration, Retirement, Revision,
     StoredMap,
 };
-pub use feed_host::{CONFIRMATION_AWAITED_AFTER, FeedHost};
+pub use feed_host::{CONFIRMATION_NOTIFY_AGE, FeedHost};
 pub use feed_peers::{PeerFeeds, StoreFollowers};
 pub use follower::{Follower, FollowerSettings, FollowerSink};
-pub use group_maintenance::{Upkeep, UpkeepSettings};
+pub use group_maintenance::{GroupMaintenance, GroupMaintenanceSettings};
 pub use host::{HostMetrics, HostSettings, OpenError, ReplicaHost};
 pub use news_board::ViewSink;
 pub use offer_seat::offer_seat;
 pub use quota_client::{QuotaClient, QuotaOutcome};
 pub use quota_host::report_quotas;
 pub use relay_host::RelayHost;
-pub use zone_boards::tell_boards;
+pub use zone_boards::exchange_board_reports;
--- a/crates/storage/src/member_watcher.rs
+++ b/crates/storage/src/member_watcher.rs
@@ -9,7 +9,7 @@
 use futures::future::join_all;
 use slog::info;
 use sumacdrift_ledger::{
-    GroupMap, Member, MemberTold, MemberWatch, ReplyKind, RequestKind, SilentMember, StatusReply,
+    GroupMap, Member, MemberReport, MemberWatch, ReplyKind, RequestKind, SilentMember, StatusReply,
 };
 use sumacdrift_transport::Transport;
 use sumacdrift_types::Timestamp;
@@ -74,7 +74,7 @@
     }
 
     fn status_interval(&self, map: &GroupMap) -> Duration {
-        if map.seat_of(&self.own).is_some() {
+        if map.group_of_member(&self.own).is_some() {
             return MEMBER_STATUS_INTERVAL;
         }
         if self.host.replica().is_new() { NEW_MACHINE_STATUS_INTERVAL } else { SPARE_STATUS_INTERVAL }
@@ -82,18 +82,18 @@
 
     /// Asks the other members of the own group, or those of all groups if the node has no seat.
     async fn request_statuses(&self, map: &GroupMap) {
-        let members: Vec<&Member> = match map.seat_of(&self.own) {
+        let members: Vec<&Member> = match map.group_of_member(&self.own) {
             Some(group) => group.members.iter().filter(|member| member.node != self.own).collect(),
             None => map.members().collect(),
         };
-        let waits_for_seat = map.seat_of(&self.own).is_none() && self.host.replica().is_new();
+        let waits_for_seat = map.group_of_member(&self.own).is_none() && self.host.replica().is_new();
         let request = encode_to_node(RequestKind::Status(!waits_for_seat));
         let requests = members.iter().map(|member| self.request_status(member, &request));
         join_all(requests).await;
         // Applied after the replies, which the members may have sent before they announced their stop.
-        self.host.take_planned_stops().iter().for_each(|member| self.watch().stops(member));
-        self.watch().keep_only(&members);
-        self.host.set_silences(self.silences());
+        self.host.take_planned_stops().iter().for_each(|member| self.watch().record_planned_stop(member));
+        self.watch().retain(&members);
+        self.host.set_unresponsive_since(self.unresponsive_since());
         self.has_completed_round.store(!members.is_empty(), Ordering::Relaxed);
     }
 
@@ -104,13 +104,13 @@
             Some(ReplyKind::Status(status)) if status.node == member.node => {
                 let report = decode_status(status);
                 let is_voting = report.is_voting;
-                if self.watch().answered(&member.node, report, now) {
+                if self.watch().record_answer(&member.node, report, now) {
                     info!(self.host.logger(), "member is responsive again"; "event" => "member_heard",
                         "member" => &member.node, "voting" => is_voting);
                 }
             }
             _ => {
-                if self.watch().silent(&member.node, now) {
+                if self.watch().record_timeout(&member.node, now) {
                     info!(self.host.logger(), "member is unresponsive"; "event" => "member_silent",
                         "member" => &member.node);
                 }
@@ -118,16 +118,16 @@
         }
     }
 
-    fn silences(&self) -> BTreeMap<String, Instant> {
+    fn unresponsive_since(&self) -> BTreeMap<String, Instant> {
         let now = Instant::now();
-        let silent = self.watch().silences(self.now());
-        silent.into_iter().map(|(node, silence)| (node, now - silence)).collect()
+        let unresponsive = self.watch().unresponsive_members(self.now());
+        unresponsive.into_iter().map(|(node, time)| (node, now - time)).collect()
     }
 }
 
-fn decode_status(status: StatusReply) -> MemberTold {
-    let silent =
+fn decode_status(status: StatusReply) -> MemberReport {
+    let unresponsive =
         status.silent.into_iter().map(|SilentMember { node, millis }| (node, Duration::from_millis(millis)));
-    let silent = status.is_watching.then(|| silent.collect());
-    MemberTold { is_voting: status.is_voting, offers_seat: status.offers_seat, silent }
+    let unresponsive = status.is_watching.then(|| unresponsive.collect());
+    MemberReport { is_voting: status.is_voting, offers_membership: status.offers_seat, unresponsive }
 }
--- a/crates/storage/src/news_board.rs
+++ b/crates/storage/src/news_board.rs
@@ -19,14 +19,14 @@
 /// Consumer of the views that replica hosts send along with replies.
 pub trait ViewSink: Send + Sync + 'static {
     /// Accepts an encoded [`sumacdrift_fleet_view::View`].
-    fn take(&self, view: Bytes);
+    fn apply(&self, view: Bytes);
 }
 
 /// Passes the view of a reply to the sink, and returns the reply proper. Must run before the reply decides
 /// anything.
 pub(crate) fn forward_view(views: Option<&Arc<dyn ViewSink>>, answer: LedgerReply) -> Option<ReplyKind> {
     if let Some(views) = views.filter(|_| !answer.view.is_empty()) {
-        views.take(answer.view);
+        views.apply(answer.view);
     }
     answer.kind
 }
--- a/crates/storage/src/quota_host.rs
+++ b/crates/storage/src/quota_host.rs
@@ -154,7 +154,7 @@
     /// The group whose members count tenants' calls with this node; `None` if it has no seat.
     pub(crate) fn counting_group(&self) -> Option<Group> {
         let replica = self.replica();
-        let seat = self.map().seat_of(replica.node()).map(|group| Group::clone(group));
+        let seat = self.map().group_of_member(replica.node()).map(|group| Group::clone(group));
         seat.or_else(|| replica.is_member().then(|| replica.group().clone()))
     }
 
--- a/crates/storage/src/routes.rs
+++ b/crates/storage/src/routes.rs
@@ -93,7 +93,7 @@
         self.has_had_reply && silent
     }
 
-    pub(crate) fn learn_relays(&mut self, mut relays: Vec<SocketAddr>) {
+    pub(crate) fn set_relays(&mut self, mut relays: Vec<SocketAddr>) {
         // A partition may leave an empty list; then the relays known before are the best guess.
         if !relays.is_empty() {
             relays.truncate(MAX_RELAYS);
--- a/crates/storage/src/zone_boards.rs
+++ b/crates/storage/src/zone_boards.rs
@@ -43,7 +43,7 @@
 
 /// Reports the calls of the edges that use the board of this node to other boards. Runs until the process
 /// ends.
-pub async fn tell_boards(host: Arc<ReplicaHost>, transport: Arc<Transport>) {
+pub async fn exchange_board_reports(host: Arc<ReplicaHost>, transport: Arc<Transport>) {
     let node = host.replica().node().to_owned();
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
--- a/crates/storage/tests/cluster/disk.rs
+++ b/crates/storage/tests/cluster/disk.rs
@@ -51,7 +51,7 @@
         Ok((Box::new(io::Cursor::new(bytes)), length))
     }
 
-    fn settle(&mut self, segment: SegmentNumber) -> io::Result<()> {
+    fn sync_existing(&mut self, segment: SegmentNumber) -> io::Result<()> {
         let mut state = self.state();
         let segment = state.segments.get_mut(&segment).ok_or(io::ErrorKind::NotFound)?;
         segment.synced = segment.bytes.len();
--- a/crates/storage/tests/cluster/mod.rs
+++ b/crates/storage/tests/cluster/mod.rs
@@ -24,8 +24,8 @@
 };
 use sumacdrift_proto::{OneWay, Request, Response};
 use sumacdrift_storage::{
-    BeginTurn, GroupDirectory, HostSettings, LedgerClient, LedgerError, LedgerTimeouts, PeerFeeds,
-    ReplicaHost, Retirement, StoreFollowers, Upkeep, UpkeepSettings, offer_seat,
+    BeginTurn, GroupDirectory, GroupMaintenance, GroupMaintenanceSettings, HostSettings, LedgerClient,
+    LedgerError, LedgerTimeouts, PeerFeeds, ReplicaHost, Retirement, StoreFollowers, offer_seat,
 };
 use sumacdrift_transport::{Handler, MemoryNetwork, Network, TrafficCounters, Transport, serve};
 use sumacdrift_types::{Location, Places};
@@ -79,7 +79,7 @@
     /// Simultaneous machine losses that must be tolerated.
     pub tolerated_losses: usize,
     /// Time within which a new machine must vote.
-    pub complete_within: Duration,
+    pub catch_up_time: Duration,
     /// Latency of each reply.
     pub reply_latency: Duration,
 }
@@ -168,18 +168,18 @@
         };
         let own =
             Member { node: name.to_owned(), address: machine.address, zone: machine.zone.clone(), joined: 0 };
-        let settings = UpkeepSettings {
+        let settings = GroupMaintenanceSettings {
             own,
             capacity: Capacity::default(),
             policy: GroupPolicy::tolerating(cluster_settings.tolerated_losses),
             places: Arc::new(Places::default()),
-            complete_within: cluster_settings.complete_within,
+            catch_up_time: cluster_settings.catch_up_time,
         };
         let directory: Arc<dyn GroupDirectory> = Arc::new(directory);
         let own_transport = Arc::clone(&transport);
-        let upkeep = Upkeep::new(settings, Arc::clone(&host), transport, directory);
+        let maintenance = GroupMaintenance::new(settings, Arc::clone(&host), transport, directory);
         let (stop, mut tasks) = (CancellationToken::new(), JoinSet::new());
-        tasks.spawn(upkeep.run());
+        tasks.spawn(maintenance.run());
         tasks.spawn(peers.run());
         tasks.spawn(Arc::clone(&host).keep_feed());
         let handler =
@@ -276,13 +276,13 @@
         let transport = Arc::new(Transport::new(network, Arc::new(TrafficCounters::default())));
         let location = Location::in_zone("z0");
         let client = LedgerClient::new(transport, location, LedgerTimeouts::default(), self.logger.clone());
-        client.learn_map(&self.map());
+        client.adopt_map(&self.map());
         client
     }
 
     /// Runs a turn that continues the newest retained one. Asserts that its chain is complete.
     pub async fn run_turn(&mut self, client: &LedgerClient) -> Result<(), LedgerError> {
-        client.learn_map(&self.map());
+        client.adopt_map(&self.map());
         self.turns += 1;
         let turn = format!("t{}", self.turns);
         let previous = self.retained_turns.last().cloned().unwrap_or_default();
@@ -290,7 +290,7 @@
             turn: TurnBegun {
                 program: "program".to_owned(),
                 turn: turn.clone(),
-                most_tokens: MOST_TOKENS,
+                max_tokens: MOST_TOKENS,
                 retention_millis: RETENTION_MILLIS,
             },
             budget_tokens: BUDGET_TOKENS,
@@ -353,7 +353,7 @@
 ) -> Arc<ReplicaHost> {
     let settings =
         HostSettings { replica, folder: Default::default(), capacity_bytes, waiting_bytes: WAITING_BYTES };
-    let host = ReplicaHost::open_on(disk, JournalWriter::in_place, settings, logger.clone()).await;
+    let host = ReplicaHost::open_on(disk, JournalWriter::inline, settings, logger.clone()).await;
     host.expect("a host")
 }
 
--- a/crates/storage/tests/configuration_age.rs
+++ b/crates/storage/tests/configuration_age.rs
@@ -63,8 +63,8 @@
     let followers = [0, 1, 2].map(|zone| follow(&fleet, zone));
     advance(PROPAGATION_TIME).await;
     for node in &fleet.nodes {
-        node.feed.store_failed(ItemKind::Configuration);
-        node.feed.store_failed(ItemKind::Engine);
+        node.feed.record_store_failure(ItemKind::Configuration);
+        node.feed.record_store_failure(ItemKind::Engine);
     }
     advance(Duration::from_secs(6)).await;
     // Engines are not listed yet.
--- a/crates/storage/tests/feed_peers.rs
+++ b/crates/storage/tests/feed_peers.rs
@@ -95,7 +95,7 @@
     advance(MAX_DELAY).await;
     assert!(fleet.nodes.iter().all(|node| node.feed.is_current()));
     for node in &fleet.nodes {
-        node.feed.store_failed(ItemKind::Configuration);
+        node.feed.record_store_failure(ItemKind::Configuration);
     }
     advance(MAX_DELAY).await;
     assert!(fleet.nodes.iter().all(|node| !node.feed.is_current()));
@@ -110,7 +110,7 @@
     let stand_in = &fleet.nodes[4].feed;
     assert_eq!(stand_in.time_without_current_peer(), Duration::ZERO);
     for node in &fleet.nodes[..3] {
-        node.feed.store_failed(ItemKind::Engine);
+        node.feed.record_store_failure(ItemKind::Engine);
     }
     advance(PROPAGATION_TIME).await;
     assert_eq!(stand_in.time_without_current_peer(), Duration::ZERO, "the time starts at the first call");
--- a/crates/storage/tests/fleet/following.rs
+++ b/crates/storage/tests/fleet/following.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sumacdrift_dissemination::{Changes, Item, ItemKind, Listed};
+use sumacdrift_dissemination::{Changes, Item, ItemKind, ItemList};
 use sumacdrift_storage::{FeedHost, Follower, FollowerSettings, FollowerSink, LedgerClient};
 use sumacdrift_transport::Transport;
 use sumacdrift_types::Location;
@@ -47,20 +47,20 @@
 }
 
 impl FollowerSink for RecordingSink {
-    fn take(&self, changes: Changes) {
+    fn apply(&self, changes: Changes) {
         let items = changes.changes.into_iter().filter_map(|change| change.item);
         let contents = items.map(|item| String::from_utf8_lossy(&item.content).into_owned());
         self.contents.lock().expect("contents").extend(contents);
     }
 
-    fn take_newer(&self, _changes: &Changes) {}
+    fn apply_newer(&self, _changes: &Changes) {}
 
-    fn confirmed(&self, as_of: Instant) {
+    fn record_confirmation(&self, as_of: Instant) {
         let mut confirmed = self.confirmed.lock().expect("a time");
         *confirmed = (*confirmed).max(Some(as_of));
     }
 
-    fn knows_anything(&self) -> bool {
+    fn has_data(&self) -> bool {
         !self.contents.lock().expect("contents").is_empty()
     }
 
@@ -85,7 +85,7 @@
     for (kind, items) in
         [(ItemKind::Configuration, vec![configuration(content, revision)]), (ItemKind::Engine, Vec::new())]
     {
-        feed.list(Listed { kind, items, revision, outage: Duration::ZERO });
+        feed.replace_kind(ItemList { kind, items, revision, outage: Duration::ZERO });
     }
 }
 
@@ -101,11 +101,11 @@
 ) -> Arc<RecordingSink> {
     let sink = Arc::new(RecordingSink::default());
     sink.contents.lock().expect("contents").extend(known.map(str::to_owned));
-    let start_patience = Duration::from_millis(1200);
+    let start_timeout = Duration::from_millis(1200);
     let settings = FollowerSettings {
         node: "edge".to_owned(),
         location: Location::in_zone(&format!("z{zone}")),
-        start_patience,
+        start_timeout,
     };
     let follower =
         Follower::new(settings, client, transport, Arc::clone(&sink) as Arc<dyn FollowerSink>, logger());
@@ -122,7 +122,7 @@
 ) -> Arc<RecordingSink> {
     let client = fleet.partitioned_client(zone, partition.clone());
     let (relay, _) = fleet.relay(0, fleet.client(zone)).await;
-    client.learn_relays(vec![relay]);
+    client.set_relays(vec![relay]);
     follow_with(zone, client, fleet.partitioned_transport(partition.clone()), known)
 }
 
--- a/crates/storage/tests/fleet/mod.rs
+++ b/crates/storage/tests/fleet/mod.rs
@@ -174,15 +174,16 @@
             });
             members.collect::<Vec<_>>()
         };
-        let founded = (0..groups).zip(0..).map(|(place, number)| Group::founded_as(number, members(place)));
-        let map = GroupMap::new(founded.collect());
+        let initial =
+            (0..groups).zip(0..).map(|(place, number)| Group::initial_numbered(number, members(place)));
+        let map = GroupMap::new(initial.collect());
         let network = MemoryNetwork::new();
         let mut nodes = Vec::new();
         for member in map.members() {
             let settings = ReplicaSettings { node: member.node.clone(), is_first_start: true };
             let mut replica = Replica::new(settings);
-            replica.started();
-            let group = map.seat_of(&member.node).expect("a seat");
+            replica.finish_replay();
+            let group = map.group_of_member(&member.node).expect("a seat");
             replica.install(Group::clone(group));
             let node = Arc::new(Node {
                 replica: Mutex::new(replica),
@@ -227,7 +228,7 @@
         let timeouts = LedgerTimeouts::default();
         let client =
             LedgerClient::new(self.transport(), Location::in_zone(&format!("z{zone}")), timeouts, logger());
-        client.learn_map(&self.map);
+        client.adopt_map(&self.map);
         Arc::new(client)
     }
 
@@ -236,7 +237,7 @@
         let transport = self.partitioned_transport(partition);
         let timeouts = LedgerTimeouts::default();
         let client = LedgerClient::new(transport, Location::in_zone(&format!("z{zone}")), timeouts, logger());
-        client.learn_map(&self.map);
+        client.adopt_map(&self.map);
         Arc::new(client)
     }
 
@@ -266,7 +267,7 @@
         turn: TurnBegun {
             program: "program".to_owned(),
             turn: turn.to_owned(),
-            most_tokens: 100,
+            max_tokens: 100,
             retention_millis: 60_000,
         },
         budget_tokens: 10_000,
--- a/crates/storage/tests/follower.rs
+++ b/crates/storage/tests/follower.rs
@@ -84,7 +84,7 @@
     }
     let sink = follow(&fleet, 1);
     advance(PROPAGATION_TIME).await;
-    fleet.nodes[1].feed.store_failed(ItemKind::Configuration);
+    fleet.nodes[1].feed.record_store_failure(ItemKind::Configuration);
     advance(Duration::from_millis(300)).await;
     for position in [0, 2, 3, 4] {
         fleet.nodes[position].feed.put(configuration("second", 2));
--- a/crates/storage/tests/groups.rs
+++ b/crates/storage/tests/groups.rs
@@ -119,13 +119,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_with_an_old_epoch_learns_the_newer_group_from_its_members() {
+async fn a_client_with_an_old_epoch_adopts_the_newer_group_from_its_members() {
     let fleet = Fleet::start_groups(GROUPS, GROUP_SIZE).await;
     let client = fleet.client(0);
     let program = program_of(&fleet, 1);
     // One member was removed from the group.
     let group = &fleet.map.groups()[1];
-    let newer = group.without(&group.members[0].node);
+    let newer = group.without_member(&group.members[0].node);
     for node in &fleet.nodes[GROUP_SIZE..2 * GROUP_SIZE] {
         node.replica.lock().expect("a replica").install(newer.clone());
     }
--- a/crates/storage/tests/lost_replies.rs
+++ b/crates/storage/tests/lost_replies.rs
@@ -12,7 +12,7 @@
 
 const SETTINGS: ClusterSettings = ClusterSettings {
     tolerated_losses: 1,
-    complete_within: Duration::from_secs(4),
+    catch_up_time: Duration::from_secs(4),
     reply_latency: Duration::from_millis(150),
 };
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
--- a/crates/storage/tests/planned_replacement.rs
+++ b/crates/storage/tests/planned_replacement.rs
@@ -18,7 +18,7 @@
 async fn recovers_after_outage(size: usize, tolerated_losses: usize, outage_delay: Duration) -> bool {
     let settings = ClusterSettings {
         tolerated_losses,
-        complete_within: COMPLETE_WITHIN,
+        catch_up_time: COMPLETE_WITHIN,
         reply_latency: Duration::from_millis(50),
     };
     let mut cluster = StorageCluster::found(settings, size).await;
@@ -67,7 +67,7 @@
 async fn a_member_stops_at_once_if_no_machine_waits_for_its_seat() {
     let settings = ClusterSettings {
         tolerated_losses: 1,
-        complete_within: COMPLETE_WITHIN,
+        catch_up_time: COMPLETE_WITHIN,
         reply_latency: Duration::from_millis(1),
     };
     let mut cluster = StorageCluster::found(settings, 3).await;
--- a/crates/storage/tests/relay.rs
+++ b/crates/storage/tests/relay.rs
@@ -36,7 +36,7 @@
         let (address, _) = fleet.relay(position, fleet.client(position)).await;
         addresses.push(address);
     }
-    client.learn_relays(addresses.clone());
+    client.set_relays(addresses.clone());
     (client, addresses)
 }
 
@@ -212,8 +212,8 @@
     let partitioned_peer = fleet.partitioned_client(1, partition.clone());
     let (peer_relay, _) = fleet.relay(0, Arc::clone(&partitioned_peer)).await;
     let (working_relay, _) = fleet.relay(1, fleet.client(1)).await;
-    client.learn_relays(vec![peer_relay, working_relay]);
-    partitioned_peer.learn_relays(vec![working_relay]);
+    client.set_relays(vec![peer_relay, working_relay]);
+    partitioned_peer.set_relays(vec![working_relay]);
     let begin = |turn| BeginTurn { budget_tokens: 0, ..begin(turn, "") };
     ask(&client, begin("t1")).await.0.expect("an admission");
     for turn in ["t2", "t3"] {
--- a/crates/storage/tests/removed_member.rs
+++ b/crates/storage/tests/removed_member.rs
@@ -8,7 +8,7 @@
 
 const SETTINGS: ClusterSettings = ClusterSettings {
     tolerated_losses: 1,
-    complete_within: Duration::from_secs(4),
+    catch_up_time: Duration::from_secs(4),
     reply_latency: Duration::from_millis(20),
 };
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
@@ -26,7 +26,7 @@
     cluster.remove("m2").await;
     cluster.add("new", 0);
     cluster.start("new").await;
-    cluster.run_turns(SETTINGS.complete_within).await;
+    cluster.run_turns(SETTINGS.catch_up_time).await;
     cluster
 }
 
@@ -36,7 +36,7 @@
         for extra_delay in (0..4_000).step_by(250) {
             let mut cluster = cluster_with_replaced_member().await;
             cluster.stop_and_remove(&name(0)).await;
-            cluster.run_turns(SETTINGS.complete_within + Duration::from_millis(extra_delay)).await;
+            cluster.run_turns(SETTINGS.catch_up_time + Duration::from_millis(extra_delay)).await;
             cluster.lose_everything(&[victim], Duration::from_millis(500)).await;
             let recovered = cluster.recovers_within(RECOVERY_TIMEOUT).await;
             assert!(recovered.is_some(), "{victim} lost its disk {extra_delay} ms after the allowed time");
@@ -52,7 +52,7 @@
     cluster.run_turns(Duration::from_millis(900)).await;
     cluster.start("m1").await;
     cluster.stop_and_remove(&name(0)).await;
-    cluster.run_turns(SETTINGS.complete_within).await;
+    cluster.run_turns(SETTINGS.catch_up_time).await;
     cluster.lose_everything(&["new"], Duration::from_millis(500)).await;
     // `run_turn` asserts that the chain is complete.
     assert!(cluster.recovers_within(RECOVERY_TIMEOUT).await.is_some(), "service is back");
@@ -88,7 +88,7 @@
     cluster.run_turns(Duration::from_secs(3)).await;
     assert_eq!(cluster.members(), ["m1", "m2"]);
     cluster.start(&name(0)).await;
-    cluster.run_turns(SETTINGS.complete_within).await;
+    cluster.run_turns(SETTINGS.catch_up_time).await;
     assert_eq!(cluster.members(), ["m0", "m1", "m2"]);
     assert!((0..3).all(|position| cluster.is_voting(&name(position))), "all vote");
     cluster.lose_everything(&["m1"], Duration::from_millis(500)).await;
--- a/crates/storage/tests/replaced_in_small_group.rs
+++ b/crates/storage/tests/replaced_in_small_group.rs
@@ -12,7 +12,7 @@
 
 const SETTINGS: ClusterSettings = ClusterSettings {
     tolerated_losses: 1,
-    complete_within: Duration::from_secs(4),
+    catch_up_time: Duration::from_secs(4),
     reply_latency: Duration::from_millis(20),
 };
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
@@ -38,7 +38,7 @@
 }
 
 fn assert_recovery_from_every_moment(replacement_delay: Duration, wiped: &str) {
-    let mut outage_delay = SETTINGS.complete_within;
+    let mut outage_delay = SETTINGS.catch_up_time;
     let mut failed_delays = Vec::new();
     while outage_delay <= MAX_OUTAGE_DELAY {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
--- a/crates/storage/tests/replaced_member.rs
+++ b/crates/storage/tests/replaced_member.rs
@@ -40,7 +40,7 @@
         runtime.expect("a runtime").block_on(async move {
             let settings = ClusterSettings {
                 tolerated_losses: self.tolerated_losses,
-                complete_within: COMPLETE_WITHIN,
+                catch_up_time: COMPLETE_WITHIN,
                 reply_latency: self.reply_latency,
             };
             let mut cluster = StorageCluster::found(settings, self.size).await;
--- a/crates/storage/tests/stopped_in_small_group.rs
+++ b/crates/storage/tests/stopped_in_small_group.rs
@@ -12,7 +12,7 @@
 
 const SETTINGS: ClusterSettings = ClusterSettings {
     tolerated_losses: 1,
-    complete_within: Duration::from_secs(4),
+    catch_up_time: Duration::from_secs(4),
     reply_latency: Duration::from_millis(20),
 };
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
@@ -27,9 +27,9 @@
     cluster.remove("m2").await;
     cluster.add("new", 0);
     cluster.start("new").await;
-    cluster.run_turns(SETTINGS.complete_within).await;
+    cluster.run_turns(SETTINGS.catch_up_time).await;
     cluster.stop_and_remove(&name(0)).await;
-    cluster.run_turns(SETTINGS.complete_within).await;
+    cluster.run_turns(SETTINGS.catch_up_time).await;
     cluster.lose_everything(&["new"], Duration::from_millis(500)).await;
     assert!(cluster.recovers_within(RECOVERY_TIMEOUT).await.is_some(), "service is back");
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -15,7 +15,7 @@
 pub use counters::{TrafficCounters, TrafficTotals};
 pub use memory::MemoryNetwork;
 pub use network::{
-    Acceptor, BoxedFuture, BoxedStream, Network, Stream, TcpNetwork, WatchfulTcpNetwork, configure_stream,
+    Acceptor, BoxedFuture, BoxedStream, FailFastTcpNetwork, Network, Stream, TcpNetwork, configure_stream,
     listen_tcp,
 };
 pub use server::{Handler, serve};
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -76,7 +76,7 @@
         if self.frames.send(frame).await.is_err() {
             return Err(TransportError::Unreachable);
         }
-        let outcome = receiver.await.unwrap_or(Err(TransportError::Lost));
+        let outcome = receiver.await.unwrap_or(Err(TransportError::ConnectionLost));
         drop(guard);
         outcome
     }
@@ -126,5 +126,5 @@
         () = read => {}
         _ = write_frames(write_half, &mut queue, &counters) => {}
     }
-    TransportError::Lost
+    TransportError::ConnectionLost
 }
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -54,13 +54,13 @@
 
 /// TCP between nearby nodes: connecting fails fast, and a silent peer is detected within seconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct WatchfulTcpNetwork;
+pub struct FailFastTcpNetwork;
 
 /// Connect timeout between nodes that are milliseconds apart. Connecting to a node that is still starting must fail
 /// soon, so that the next attempt can succeed.
 const NEARBY_CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 
-impl Network for WatchfulTcpNetwork {
+impl Network for FailFastTcpNetwork {
     fn connect(&self, to: SocketAddr) -> BoxedFuture<'_, io::Result<BoxedStream>> {
         Box::pin(
             async move { tokio::time::timeout(NEARBY_CONNECT_TIMEOUT, connect(to, configure_stream)).await? },
--- a/crates/transport/src/transport.rs
+++ b/crates/transport/src/transport.rs
@@ -18,7 +18,7 @@
     Unreachable,
     /// The connection broke after the request may have been sent.
     #[error("connection closed before the response arrived")]
-    Lost,
+    ConnectionLost,
     /// No response arrived in time; the request may have been handled.
     #[error("no response arrived in time")]
     TimedOut,
