--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -37,7 +37,7 @@
     #[error("an emulator or a runtime failed to start: {0}")]
     Emulator(#[from] std::io::Error),
     #[error("the bench generated invalid settings: {0}")]
-    Settings(#[from] sumacdrift_config::Mistakes),
+    Settings(#[from] sumacdrift_config::ConfigErrors),
     #[error("the bench generated an invalid name: {0}")]
     Name(#[from] InvalidName),
     #[error("the object API rejected the bundle: {0}")]
--- a/crates/proto/src/command.rs
+++ b/crates/proto/src/command.rs
@@ -202,11 +202,11 @@
             known_length: self.known_prefix.length as u64,
             known_digest: self.known_prefix.digest.0.to_vec(),
             messages: encode_chat_messages(&self.messages),
-            wanted_output: self.wanted_output,
+            wanted_output: self.max_output_tokens,
             limits: Some(self.limits.to_wire()),
             runner: Some(self.runner.to_wire()),
-            wait_until_micros: encode_timestamp(self.wait_until),
-            run_limit_micros: self.run_limit.as_micros() as u64,
+            wait_until_micros: encode_timestamp(self.wait_deadline),
+            run_limit_micros: self.run_timeout.as_micros() as u64,
         }
     }
 
@@ -223,11 +223,11 @@
             mode,
             known_prefix: KnownPrefix { length: message.known_length as usize, digest },
             messages: decode_chat_messages(message.messages),
-            wanted_output: message.wanted_output,
+            max_output_tokens: message.wanted_output,
             limits: decode_required(message.limits, "limits")?,
             runner: decode_required(message.runner, "runner")?,
-            wait_until: Timestamp(message.wait_until_micros),
-            run_limit: Duration::from_micros(message.run_limit_micros),
+            wait_deadline: Timestamp(message.wait_until_micros),
+            run_timeout: Duration::from_micros(message.run_limit_micros),
         })
     }
 }
@@ -293,7 +293,7 @@
                 reason: reason.clone(),
             })
         }
-        Command::ForgetWaiting { program, call } => CommandKind::ForgetWaiting(ProgramCallMessage {
+        Command::CancelWaiting { program, call } => CommandKind::ForgetWaiting(ProgramCallMessage {
             call: Some(call.to_wire()),
             program: program.to_string(),
             ..Default::default()
@@ -323,7 +323,7 @@
             first_message: page.first_message as u64,
             messages: page.messages as u64,
         }),
-        Command::ListGone { call, programs } => CommandKind::ListGone(ListGoneMessage {
+        Command::ListEnded { call, programs } => CommandKind::ListGone(ListGoneMessage {
             call: Some(call.to_wire()),
             programs: to_strings(programs),
         }),
@@ -332,7 +332,7 @@
             key: Some(begin.key.to_wire()),
             request: begin.request.to_vec(),
             runner: Some(begin.runner.to_wire()),
-            run_limit_micros: begin.run_limit.as_micros() as u64,
+            run_limit_micros: begin.run_timeout.as_micros() as u64,
         }),
         Command::FinishService { key, call, response } => {
             CommandKind::FinishService(encode_service_call(key, call, Some(response.to_wire())))
@@ -340,7 +340,9 @@
         Command::ReleaseService { key, call } => {
             CommandKind::ReleaseService(encode_service_call(key, call, None))
         }
-        Command::LoseService { key, call } => CommandKind::LoseService(encode_service_call(key, call, None)),
+        Command::MarkServiceUnknown { key, call } => {
+            CommandKind::LoseService(encode_service_call(key, call, None))
+        }
     }
 }
 
@@ -355,7 +357,7 @@
             engines: parse_names(message.engines, "engines")?,
             reason: message.reason,
         },
-        CommandKind::ForgetWaiting(message) => Command::ForgetWaiting {
+        CommandKind::ForgetWaiting(message) => Command::CancelWaiting {
             program: parse_name(message.program, "program")?,
             call: decode_required(message.call, "call")?,
         },
@@ -382,7 +384,7 @@
             tenant: parse_name(message.tenant, "tenant")?,
             page: Page { first_message: message.first_message as usize, messages: message.messages as usize },
         },
-        CommandKind::ListGone(message) => Command::ListGone {
+        CommandKind::ListGone(message) => Command::ListEnded {
             call: decode_required(message.call, "call")?,
             programs: parse_names(message.programs, "programs")?,
         },
@@ -391,7 +393,7 @@
             key: decode_required(message.key, "key")?,
             request: to_array(&message.request, "request")?,
             runner: decode_required(message.runner, "runner")?,
-            run_limit: Duration::from_micros(message.run_limit_micros),
+            run_timeout: Duration::from_micros(message.run_limit_micros),
         }),
         CommandKind::FinishService(message) => Command::FinishService {
             key: decode_required(message.key, "key")?,
@@ -402,7 +404,7 @@
             key: decode_required(message.key, "key")?,
             call: decode_required(message.call, "call")?,
         },
-        CommandKind::LoseService(message) => Command::LoseService {
+        CommandKind::LoseService(message) => Command::MarkServiceUnknown {
             key: decode_required(message.key, "key")?,
             call: decode_required(message.call, "call")?,
         },
--- a/crates/proto/src/membership.rs
+++ b/crates/proto/src/membership.rs
@@ -142,7 +142,7 @@
         EnvelopeMessage {
             sender: Some(self.sender.to_wire()),
             generation: self.generation.0,
-            news: encode_list(&self.news),
+            news: encode_list(&self.updates),
             packet: Some(encode_packet(&self.packet)),
         }
     }
@@ -151,7 +151,7 @@
         Ok(Envelope {
             sender: decode_required(message.sender, "sender")?,
             generation: Generation(message.generation),
-            news: decode_list(message.news)?,
+            updates: decode_list(message.news)?,
             packet: decode_packet(require_field(message.packet, "packet")?)?,
         })
     }
@@ -160,11 +160,11 @@
 fn encode_packet(packet: &Packet) -> PacketKind {
     match packet {
         Packet::Probe { sequence } => PacketKind::Probe(*sequence),
-        Packet::Answer { sequence } => PacketKind::Answer(*sequence),
+        Packet::Ack { sequence } => PacketKind::Answer(*sequence),
         Packet::ProbeRequest { sequence, target } => {
             PacketKind::ProbeRequest(ProbeRequestMessage { sequence: *sequence, target: target.0 })
         }
-        Packet::RelayedAnswer { sequence } => PacketKind::RelayedAnswer(*sequence),
+        Packet::RelayedAck { sequence } => PacketKind::RelayedAnswer(*sequence),
         Packet::Exchange { digest } => PacketKind::Exchange(*digest),
         Packet::Members { members, wants_reply } => {
             PacketKind::Members(MembersMessage { members: encode_list(members), wants_reply: *wants_reply })
@@ -176,11 +176,11 @@
 fn decode_packet(kind: PacketKind) -> Result<Packet, DecodeError> {
     Ok(match kind {
         PacketKind::Probe(sequence) => Packet::Probe { sequence },
-        PacketKind::Answer(sequence) => Packet::Answer { sequence },
+        PacketKind::Answer(sequence) => Packet::Ack { sequence },
         PacketKind::ProbeRequest(request) => {
             Packet::ProbeRequest { sequence: request.sequence, target: NodeId(request.target) }
         }
-        PacketKind::RelayedAnswer(sequence) => Packet::RelayedAnswer { sequence },
+        PacketKind::RelayedAnswer(sequence) => Packet::RelayedAck { sequence },
         PacketKind::Exchange(digest) => Packet::Exchange { digest },
         PacketKind::Members(message) => {
             Packet::Members { members: decode_list(message.members)?, wants_reply: message.wants_reply }
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -88,7 +88,7 @@
             }
             CallerRequest::Service { key, body } => {
                 let Some(key) = ledger_key(key) else { return };
-                let begin = BeginService { call, key, request: [*body; 16], runner, run_limit: RUN_LIMIT };
+                let begin = BeginService { call, key, request: [*body; 16], runner, run_timeout: RUN_LIMIT };
                 (Command::BeginService(begin), COMMIT_RETRY_TIME)
             }
             CallerRequest::End { program } => {
@@ -254,7 +254,7 @@
             (Stage::CommittingFailure, _) => {
                 self.nodes[node].tasks.remove(&call);
             }
-            (_, Reply::Refused(problem)) => self.reject_call(node, call, problem),
+            (_, Reply::Rejected(problem)) => self.reject_call(node, call, problem),
             (_, Reply::Abandoned) => {
                 let problem =
                     Problem::unknown(ResultCode::NotCommitted, "the call was abandoned before its commit");
@@ -511,7 +511,7 @@
             let problem = Problem::not_run(ResultCode::BackEndCut, "the service's answer is lost");
             let problem = problem.with_ran(machine.ran());
             self.reject_call(node, call, problem);
-            self.commit_failure(node, task, Command::LoseService { key, call });
+            self.commit_failure(node, task, Command::MarkServiceUnknown { key, call });
             return;
         }
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
@@ -548,7 +548,7 @@
         mode: request.mode,
         known_prefix: KnownPrefix::default(),
         messages: request.messages.clone(),
-        wanted_output: request.wanted_output,
+        max_output_tokens: request.wanted_output,
         limits: BudgetLimits {
             turns: 100,
             input_tokens: 1_000_000,
@@ -557,8 +557,8 @@
             sub_agents: 0,
         },
         runner,
-        wait_until: now + MAX_TURN_WAIT,
-        run_limit: RUN_LIMIT,
+        wait_deadline: now + MAX_TURN_WAIT,
+        run_timeout: RUN_LIMIT,
     }
 }
 
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use sumacdrift_config::InForce;
+use sumacdrift_config::CurrentConfiguration;
 use sumacdrift_program::Runner;
 use sumacdrift_replication::{Candidate, ReplicaId};
 use sumacdrift_scheduling::{EngineQueue, QueueSettings};
@@ -48,7 +48,7 @@
     pub(crate) command_waiters: BTreeMap<CallId, Waiter>,
     pub(crate) queues: BTreeMap<usize, EngineQueue>,
     pub(crate) queue_waiters: BTreeMap<CallId, Waiter>,
-    pub(crate) configuration: InForce<SimConfiguration>,
+    pub(crate) configuration: CurrentConfiguration<SimConfiguration>,
     pub(crate) peers: BTreeMap<usize, PeerStatus>,
     /// Earlier incarnations of peers.
     superseded: BTreeSet<ReplicaId>,
@@ -69,7 +69,7 @@
             command_waiters: BTreeMap::new(),
             queues: BTreeMap::new(),
             queue_waiters: BTreeMap::new(),
-            configuration: InForce::default(),
+            configuration: CurrentConfiguration::default(),
             peers: BTreeMap::new(),
             superseded: BTreeSet::new(),
             leader: None,
