--- a/crates/storage/src/follower.rs
+++ b/crates/storage/src/follower.rs
@@ -245,9 +245,9 @@
 ) -> Option<FeedReply> {
     let request = FollowRequest { takes_parts: true, ..follow_request(incarnation, after, wait) };
     let mut reply = request_part(transport, feed, request, wait + FEED_TIMEOUT_MARGIN).await?;
-    while let Some(behind) = reply.changes.last_item_of_part.take() {
+    while let Some(last_item) = reply.changes.last_item_of_part.take() {
         let request = FollowRequest {
-            part_behind: Some(behind),
+            part_behind: Some(last_item),
             takes_parts: true,
             ..follow_request(reply.changes.incarnation, 0, Duration::ZERO)
         };
