--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -83,65 +83,61 @@
     /// Registers the metrics under their public names.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("sumacdrift_edge");
-        registry.register("calls", "Calls received from callers", self.calls.clone());
-        registry.register("served", "Calls whose response an engine completed", self.served.clone());
-        registry.register("events", "Stream events forwarded to callers", self.events.clone());
-        registry.register("failed_attempts", "Attempts that failed", self.failed_attempts.clone());
+        registry.register("calls", "Calls taken from callers", self.calls.clone());
+        registry.register("served", "Calls answered by an engine to the end", self.served.clone());
+        registry.register("events", "Events of streams given to callers", self.events.clone());
+        registry.register("failed_attempts", "Attempts that an engine failed", self.failed_attempts.clone());
         registry.register(
             "server_errors",
-            "Engine responses with a status of 500 or above",
+            "Answers of engines with a status of 500 and above",
             self.server_errors.clone(),
         );
         registry.register(
             "withheld",
-            "Calls not sent because their engine could no longer receive them",
+            "Calls that were not sent as their engine might not get them any more",
             self.withheld.clone(),
         );
         registry.register(
             "evacuated_zones",
-            "Zones whose engines get no new calls",
+            "Zones whose engines get nothing new",
             self.evacuated_zones.clone(),
         );
         registry.register(
             "outliers",
-            "Engines ejected as outliers or returning from ejection",
+            "Engines that are put aside as they failed too much, or are being brought back",
             self.outliers.clone(),
         );
-        registry.register("outlier_ejections", "Outlier ejections", self.outlier_ejections.clone());
-        registry.register("permits", "Permits granted for calls to cold engines", self.permits.clone());
         registry.register(
-            "permits_refused",
-            "Permits denied for calls to cold engines",
-            self.permits_refused.clone(),
-        );
-        registry.register("cold_engines", "Cold engines", self.cold_engines.clone());
-        registry.register("resumptions", "Streams resumed after a failure", self.resumptions.clone());
-        registry.register("under_way", "Calls in flight", self.in_flight.clone());
-        registry.register(
-            "configuration",
-            "Version of the configuration in force",
-            self.configuration.clone(),
+            "outlier_ejections",
+            "How often an engine was put aside as an outlier",
+            self.outlier_ejections.clone(),
         );
+        registry.register("permits", "Permits for calls to cold engines", self.permits.clone());
+        registry.register("permits_refused", "Permits that were not given", self.permits_refused.clone());
+        registry.register("cold_engines", "Engines that are cold", self.cold_engines.clone());
+        registry.register("resumptions", "Streams taken up again", self.resumptions.clone());
+        registry.register("under_way", "Calls under way", self.in_flight.clone());
+        registry.register("configuration", "Version of the configuration", self.configuration.clone());
         let times = [
-            ("ledger_seconds", "Time to begin a turn in the ledger", &self.ledger_seconds),
-            ("quota_seconds", "Time to check a tenant's quota", &self.quota_seconds),
-            (
-                "first_event_seconds",
-                "Time from accepting a streamed call to its first event",
-                &self.first_event_seconds,
-            ),
-            ("stream_seconds", "Time from accepting a streamed call to its end", &self.stream_seconds),
-            ("wait_seconds", "Time in the queue of dispatched calls", &self.wait_seconds),
-            ("plain_seconds", "Time from accepting a buffered call to its response", &self.buffered_seconds),
+            ("ledger_seconds", "From a turn's begin to the ledger's answer", &self.ledger_seconds),
+            ("quota_seconds", "From a call of a tenant with a quota to its verdict", &self.quota_seconds),
+            ("first_event_seconds", "From a stream's call to its first event", &self.first_event_seconds),
+            ("stream_seconds", "From a stream's call to its end", &self.stream_seconds),
+            ("wait_seconds", "How long calls waited for room before they were let in", &self.wait_seconds),
+            ("plain_seconds", "From a plain call to its answer", &self.buffered_seconds),
         ];
         for (name, help, histogram) in times {
             registry.register(name, help, histogram.clone());
         }
-        registry.register("waiting", "Calls waiting in queues", self.queued.clone());
-        registry.register("no_room", "Calls rejected by queues, by reason", self.queue_rejections.clone());
+        registry.register("waiting", "Calls that wait for room", self.queued.clone());
+        registry.register(
+            "no_room",
+            "Calls refused for want of room, by reason",
+            self.queue_rejections.clone(),
+        );
         registry.register(
             "given_up",
-            "Calls rejected, failed or aborted, by result code",
+            "Calls refused, failed or broken off, by result code",
             self.given_up.clone(),
         );
     }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -33,13 +33,13 @@
     /// Why the node is not ready for calls; `None` if it is.
     fn not_ready_reason(&self) -> Option<&'static str> {
         if self.components.context.stopping.is_cancelled() {
-            return Some("the node is shutting down");
+            return Some("the node is being stopped");
         }
         if self.components.configuration.current().is_none() {
-            return Some("no configuration has been applied");
+            return Some("no configuration is in force");
         }
         if !self.components.shard_client.is_ready() {
-            return Some("the node has not joined a fleet yet");
+            return Some("the node does not belong to a fleet yet");
         }
         None
     }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -90,36 +90,36 @@
 
     fn register_counters(&mut self) {
         let counters = [
-            ("turns", "Completed turns", &self.turns),
-            ("replays", "Answers replayed from the history or the ledger", &self.replays),
-            ("retries", "Retried attempts", &self.retries),
+            ("turns", "Turns that ran to their end", &self.turns),
+            ("replays", "Answers given again from the history or the ledger", &self.replays),
+            ("retries", "Attempts after the first", &self.retries),
             ("output_tokens", "Tokens generated", &self.output_tokens),
-            ("prompt_tokens", "Prompt tokens", &self.prompt_tokens),
-            ("cached_tokens", "Prompt tokens served from engine caches", &self.cached_tokens),
-            ("service_calls", "Calls to plain services", &self.service_calls),
+            ("prompt_tokens", "Tokens of prompts", &self.prompt_tokens),
+            ("cached_tokens", "Tokens of prompts that engines found in their caches", &self.cached_tokens),
+            ("service_calls", "Calls of plain services that ran", &self.service_calls),
         ];
         for (name, help, counter) in counters {
             self.registry.register(name, help, counter.clone());
         }
-        let help = "Problems returned to callers, by result code";
+        let help = "Problems given to callers, by result code";
         self.registry.register("problems", help, self.problems.clone());
         let help = "Seconds from a turn's arrival to its first token";
         self.registry.register("first_token_seconds", help, self.first_token_seconds.clone());
-        let help = "Seconds from a turn's arrival to its completion";
+        let help = "Seconds from a turn's arrival to its end";
         self.registry.register("turn_seconds", help, self.turn_seconds.clone());
     }
 
     fn register_gauges(&mut self) {
         let gauges = [
-            ("calls_running", "Calls in flight", &self.calls_running),
-            ("members_live", "Nodes that are not considered dead", &self.members_live),
-            ("shards_held", "Program shards with a replica on this node", &self.shards_held),
-            ("shards_led", "Program shards led by this node", &self.shards_led),
-            ("programs_held", "Programs in the shards held by this node", &self.programs_held),
-            ("log_bytes", "Payload bytes in the replicated logs held by this node", &self.log_bytes),
-            ("engines_owned", "Engines with a queue on this node", &self.engines_owned),
-            ("calls_queued", "Calls queued for an engine on this node", &self.calls_queued),
-            ("generation", "Generation of the active configuration", &self.generation),
+            ("calls_running", "Calls under way", &self.calls_running),
+            ("members_live", "Nodes that are not taken for dead", &self.members_live),
+            ("shards_held", "Program shards with a replica here", &self.shards_held),
+            ("shards_led", "Program shards led here", &self.shards_led),
+            ("programs_held", "Programs in the shards held here", &self.programs_held),
+            ("log_bytes", "Payload bytes in the replicated logs held here", &self.log_bytes),
+            ("engines_owned", "Engines with a queue here", &self.engines_owned),
+            ("calls_queued", "Calls that wait for an engine here", &self.calls_queued),
+            ("generation", "Generation of the configuration in force", &self.generation),
             ("peer_sent_bytes", "Bytes sent to other nodes", &self.peer_sent_bytes),
             ("peer_received_bytes", "Bytes received from other nodes", &self.peer_received_bytes),
             ("peer_sent_messages", "Messages sent to other nodes", &self.peer_sent_messages),
