--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -50,7 +50,7 @@
     }
 
     fn current_file(&mut self) -> io::Result<&mut File> {
-        self.current_segment.as_mut().ok_or_else(|| io::Error::other("no segment has been created"))
+        self.current_segment.as_mut().ok_or_else(|| io::Error::other("no segment is open"))
     }
 }
 
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -17,13 +17,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
     /// The commit would exceed the configured capacity. Holds the bytes in use.
-    #[error("the journal is full with {0} bytes in use")]
+    #[error("the journal holds {0} bytes and may not grow")]
     Full(u64),
     /// The disk failed; the records may or may not be durable.
-    #[error("disk error: {0}")]
+    #[error("the disk failed: {0}")]
     Disk(#[from] io::Error),
     /// The disk failed earlier; the journal accepts no more commits until it is opened again.
-    #[error("the journal stopped after an earlier disk error")]
+    #[error("the journal failed before")]
     Failed,
 }
 
--- a/crates/node/src/chat_runner.rs
+++ b/crates/node/src/chat_runner.rs
@@ -208,8 +208,7 @@
         let run = match begun {
             None => {
                 // The turn may have been admitted in the meantime; abandoning it is safe either way.
-                self.abandon(&turn, &program, 0, Vec::new(), "the caller disconnected before the turn began")
-                    .await;
+                self.abandon(&turn, &program, 0, Vec::new(), "its caller left before it began").await;
                 return;
             }
             Some(Err(problem)) => {
@@ -234,8 +233,7 @@
         };
         let chat_head = ChatHead { program: Some(program.clone()), turn: run.turn, is_replay: false };
         let Some(mut caller) = send_head(head, chat_head) else {
-            self.abandon(&turn, &program, 0, Vec::new(), "the caller disconnected before the turn began")
-                .await;
+            self.abandon(&turn, &program, 0, Vec::new(), "its caller left before it began").await;
             return;
         };
         match self.run_on_engines(&turn, &run, &mut caller).await {
--- a/crates/node/src/shard_host.rs
+++ b/crates/node/src/shard_host.rs
@@ -332,7 +332,7 @@
                 .programs()
                 .find_map(|(program, record)| record.in_flight_call(call).map(|_| program.clone()));
             if let Some(program) = owner {
-                let reason = "the caller disconnected before the turn began".to_owned();
+                let reason = "its caller left before it began".to_owned();
                 let engines = Vec::new();
                 let abandon = Command::AbandonTurn { program, call, output_tokens: 0, engines, reason };
                 let _ = hosted.shard.command(abandon, self.context.now());
--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -33,7 +33,7 @@
     now: Timestamp,
 ) -> Admission {
     if has_unapplied_entries {
-        return Admission::Wait("an earlier change of the program is not yet committed");
+        return Admission::Wait("an earlier change of the program is being committed");
     }
     match record {
         None => admit_first_turn(request, now),
@@ -58,7 +58,7 @@
 
 fn admit_first_turn(request: &BeginTurn, now: Timestamp) -> Admission {
     if request.turn.is_some_and(|turn| turn > TurnNumber(0)) {
-        return Admission::Wait("earlier turns of the program have not arrived yet");
+        return Admission::Wait("the program's earlier turns have not come yet");
     }
     if request.known_prefix.length > 0 {
         return Admission::Reply(Reply::SendAllMessages);
@@ -85,10 +85,10 @@
         return Admission::reject(ResultCode::ProgramEnded, "the program has ended");
     }
     if record.in_flight.is_some() {
-        return Admission::Wait("another call of the program is in progress");
+        return Admission::Wait("another call of the program is under way");
     }
     if request.turn.is_some_and(|turn| turn > record.next_turn()) && !is_broken(Rule::TurnsInOrder) {
-        return Admission::Wait("an earlier turn has not arrived yet");
+        return Admission::Wait("an earlier turn has not come yet");
     }
     let new_messages = match new_messages(&record.history, request) {
         Ok(messages) => messages,
@@ -117,7 +117,7 @@
     if content_digest(record, in_flight.accepted.turn, request) != in_flight.request_digest {
         return Some(content_mismatch(is_same_key));
     }
-    Some(Admission::Wait("the same call is in progress"))
+    Some(Admission::Wait("the same call is under way"))
 }
 
 fn replay(record: &Program, turn: TurnNumber, by_key: bool, request: &BeginTurn) -> Admission {
--- a/crates/program/src/leader.rs
+++ b/crates/program/src/leader.rs
@@ -271,7 +271,7 @@
                 self.record_decision(program, DecisionKind::Refused, turn, problem.to_string(), now);
             }
             Reply::Replay(answer) => {
-                let reason = "the turn was already committed; its recorded answer was returned".to_owned();
+                let reason = "the turn ran before; its recorded answer was given again".to_owned();
                 self.record_decision(program, DecisionKind::Replayed, Some(answer.turn), reason, now);
             }
             _ => {}
--- a/crates/program/src/leader/expiry.rs
+++ b/crates/program/src/leader/expiry.rs
@@ -72,8 +72,8 @@
                 continue;
             }
             let reason = match is_dead {
-                true => format!("node {} that ran the call is dead", accepted.runner.node),
-                false => format!("node {} did not end the call before its deadline", accepted.runner.node),
+                true => format!("node {} that ran it is gone", accepted.runner.node),
+                false => format!("node {} did not end it in time", accepted.runner.node),
             };
             self.record_decision(
                 &accepted.program,
--- a/crates/program/src/leader/services.rs
+++ b/crates/program/src/leader/services.rs
@@ -56,7 +56,7 @@
         match record.budget.plan_child(grant.share_percent, now) {
             Err(problem) => step.reject(grant.call, problem),
             Ok(limits) => {
-                let reason = format!("granted to {}: {limits:?}", grant.child);
+                let reason = format!("{} received {limits:?}", grant.child);
                 self.record_decision(&grant.parent, DecisionKind::Granted, None, reason, now);
                 self.grant_child_calls.insert(key, vec![grant.call]);
                 let entry = Entry::ChildGranted { parent: grant.parent.clone(), child: grant.child, limits };
