--- a/crates/access/src/knowledge.rs
+++ b/crates/access/src/configuration_age.rs
@@ -14,7 +14,7 @@
 
 /// Maximum age of the configuration by which keys are accepted and rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnowledgeLimits {
+pub struct ConfigurationAgeLimits {
     /// Age above which a known key is rejected; `None` if withdrawn keys may keep working.
     pub known_key: Option<Duration>,
     /// Age above which a key that is not in the table may have been added since, so that it is not reported
@@ -22,13 +22,13 @@
     pub unknown_key: Duration,
 }
 
-impl KnowledgeLimits {
+impl ConfigurationAgeLimits {
     /// Limits that reject a key `within` this time after its withdrawal was acknowledged; `None` sets no such
     /// limit.
     ///
     /// A call is decided after it was sent. So if the configuration is no older than `within`, a call sent
     /// later than that after the withdrawal finds the withdrawal known.
-    pub fn withdrawn_within(within: Option<Duration>) -> Self {
+    pub fn for_withdrawal_deadline(within: Option<Duration>) -> Self {
         let known_key = within.map(|within| within.mul_f64(1.0 - CLOCK_MARGIN_SHARE));
         Self { known_key, unknown_key: UNKNOWN_KEY_MAX_AGE }
     }
@@ -36,12 +36,12 @@
 
 /// Age of the configuration in force, by this node's monotonic clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct ConfigurationAge {
     /// Latest time at which the store is known to have held nothing newer than the configuration in force.
     confirmed_at: Option<Timestamp>,
 }
 
-impl Knowledge {
+impl ConfigurationAge {
     /// Records that the store held nothing newer at `as_of`.
     pub fn confirm(&mut self, as_of: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(Some(as_of));
--- a/crates/access/src/decision.rs
+++ b/crates/access/src/decision.rs
@@ -6,13 +6,13 @@
 use sumacdrift_mutants::{Rule, is_broken};
 use sumacdrift_types::ResultCode;
 
+use crate::configuration_age::ConfigurationAgeLimits;
 use crate::key::ApiKey;
-use crate::knowledge::KnowledgeLimits;
 use crate::table::{AccessTable, Tenant};
 
 /// Input of [`decide`].
 #[derive(Debug, Clone, Copy)]
-pub struct AccessFacts<'a> {
+pub struct AccessRequest<'a> {
     /// The caller's key; `None` if it sent none or several.
     pub key: Option<&'a ApiKey>,
     /// Whether the route needs no key.
@@ -46,23 +46,23 @@
 ///
 /// `Ok(None)` admits a call without a tenant: no keys are configured, or the route is public and the key is
 /// missing or unknown.
-pub fn decide(
+pub fn check_access(
     table: &AccessTable,
-    facts: AccessFacts<'_>,
-    limits: KnowledgeLimits,
+    request: AccessRequest<'_>,
+    limits: ConfigurationAgeLimits,
 ) -> Result<Option<Arc<Tenant>>, AccessRefusal> {
     if !table.requires_keys() {
         return Ok(None);
     }
-    let tenant = facts.key.and_then(|key| table.tenant_of(key)).cloned();
-    let is_too_old = |limit: Duration| facts.age.is_none_or(|age| age > limit);
+    let tenant = request.key.and_then(|key| table.tenant_of(key)).cloned();
+    let is_too_old = |limit: Duration| request.age.is_none_or(|age| age > limit);
     let keys_are_too_old = limits.known_key.is_some_and(is_too_old) && !is_broken(Rule::AccessAgeIsBounded);
     match tenant {
         // Public routes admit a call even if its key may have been withdrawn.
-        Some(_) if keys_are_too_old && !facts.is_public => Err(AccessRefusal::TooOld),
+        Some(_) if keys_are_too_old && !request.is_public => Err(AccessRefusal::TooOld),
         Some(tenant) => Ok(Some(tenant)),
-        None if facts.is_public => Ok(None),
-        None if facts.key.is_some() && is_too_old(limits.unknown_key) => Err(AccessRefusal::TooOld),
+        None if request.is_public => Ok(None),
+        None if request.key.is_some() && is_too_old(limits.unknown_key) => Err(AccessRefusal::TooOld),
         None => Err(AccessRefusal::UnknownKey),
     }
 }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -6,9 +6,9 @@
 //!
 //! The crate does no I/O and reads no clock; callers pass the time in.
 
+mod configuration_age;
 mod decision;
 mod key;
-mod knowledge;
 mod program_admission;
 mod quota_counters;
 mod quota_window;
@@ -16,9 +16,9 @@
 mod tenant_counter;
 mod token_bucket;
 
-pub use decision::{AccessFacts, AccessRefusal, decide};
+pub use configuration_age::{ConfigurationAge, ConfigurationAgeLimits};
+pub use decision::{AccessRefusal, AccessRequest, check_access};
 pub use key::ApiKey;
-pub use knowledge::{Knowledge, KnowledgeLimits};
 pub use quota_counters::{CallReport, QuotaCall, QuotaCounters, QuotaVerdict, TenantTotal};
 pub use quota_window::{QuotaLimit, QuotaWindow};
 pub use table::{AccessTable, AccessTableError, Tenant, TenantSpec};
--- a/crates/access/src/program_admission.rs
+++ b/crates/access/src/program_admission.rs
@@ -102,7 +102,8 @@
         call_stats: ProgramCallStats,
         now: Timestamp,
     ) -> Option<Duration> {
-        let is_congested = now < self.congested_until || used as f64 >= limit.most() as f64 * CONGESTED_SHARE;
+        let is_congested =
+            now < self.congested_until || used as f64 >= limit.max_calls() as f64 * CONGESTED_SHARE;
         if !is_congested
             || now < self.programs_unknown_until
             || self.last_call_times.len() >= MAX_TRACKED_PROGRAMS
--- a/crates/access/src/quota_counters.rs
+++ b/crates/access/src/quota_counters.rs
@@ -44,7 +44,7 @@
     pub version: u64,
 }
 
-/// Result of [`QuotaCounters::ask`].
+/// Result of [`QuotaCounters::check_call`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaVerdict {
     /// The call is within the quota and was counted.
@@ -129,7 +129,7 @@
 
     /// Checks a call against its tenant's quota, and counts it if granted. `members` are the nodes that count
     /// this tenant's calls.
-    pub fn ask(&mut self, call: QuotaCall<'_>, members: &[&str], now: Timestamp) -> QuotaVerdict {
+    pub fn check_call(&mut self, call: QuotaCall<'_>, members: &[&str], now: Timestamp) -> QuotaVerdict {
         let has_quorum = self.update_quorum(members, now);
         let is_warm = self.is_warm(call.limit.window, now);
         if !has_quorum || (!is_warm && self.has_warm_peer(members, now)) {
@@ -139,7 +139,7 @@
         let call_stats = self.call_stats;
         let known_since = self.started_at;
         let count = self.tenants.entry(Arc::from(call.tenant)).or_insert_with(TenantCounter::new);
-        let max_calls = count.update_limit(call.limit, call.version, known_since, now).most();
+        let max_calls = count.update_limit(call.limit, call.version, known_since, now).max_calls();
         let counted = count.window.calls(now);
         if let Some(retry_after) = count.check_limit(call.program, call_stats, now) {
             return QuotaVerdict::Exceeded { retry_after, counted };
@@ -179,7 +179,7 @@
     }
 
     /// Records that `node` acknowledged the report sent at `sent_at`.
-    pub fn acknowledged(&mut self, node: &str, sent_at: Timestamp) {
+    pub fn record_acknowledgement(&mut self, node: &str, sent_at: Timestamp) {
         let newest = self.acknowledged_reports.entry(node.to_owned()).or_default();
         *newest = sent_at.max(*newest);
     }
@@ -197,7 +197,7 @@
     }
 
     /// Adds the calls of another node's report that are not yet counted here.
-    pub fn heard(&mut self, report: CallReport, now: Timestamp) {
+    pub fn apply_report(&mut self, report: CallReport, now: Timestamp) {
         let is_first = !self.peers.contains_key(&report.node);
         let peer = self.peers.entry(report.node).or_insert_with(|| Peer {
             life: report.life,
--- a/crates/access/src/quota_window.rs
+++ b/crates/access/src/quota_window.rs
@@ -22,7 +22,7 @@
 
 impl QuotaLimit {
     /// Maximum number of calls in a window.
-    pub fn most(&self) -> u64 {
+    pub fn max_calls(&self) -> u64 {
         (self.sustained_calls() + self.burst).max(0.0) as u64
     }
 
--- a/crates/access/src/tenant_counter.rs
+++ b/crates/access/src/tenant_counter.rs
@@ -112,8 +112,8 @@
         let used = self.window.calls(now);
         let active_limit = self.active_limit.as_mut()?;
         let limit = active_limit.limit;
-        let until_expired = || self.window.time_until_expired(used + 1 - limit.most(), now);
-        let wait = if used < limit.most() {
+        let until_expired = || self.window.time_until_expired(used + 1 - limit.max_calls(), now);
+        let wait = if used < limit.max_calls() {
             active_limit.bucket.time_until_token(now)
         } else {
             Some(until_expired())
--- a/crates/access/src/token_bucket.rs
+++ b/crates/access/src/token_bucket.rs
@@ -82,6 +82,6 @@
     }
 
     fn capacity(&self) -> f64 {
-        self.limit.burst + EXTRA_DEPTH_CALLS + self.limit.most() as f64 * EXTRA_DEPTH_SHARE
+        self.limit.burst + EXTRA_DEPTH_CALLS + self.limit.max_calls() as f64 * EXTRA_DEPTH_SHARE
     }
 }
--- a/crates/access/tests/decision.rs
+++ b/crates/access/tests/decision.rs
@@ -5,8 +5,8 @@
 
 use proptest::prelude::*;
 use sumacdrift_access::{
-    AccessFacts, AccessRefusal, AccessTable, AccessTableError, ApiKey, Knowledge, KnowledgeLimits,
-    QuotaLimit, TenantSpec, decide,
+    AccessRefusal, AccessRequest, AccessTable, AccessTableError, ApiKey, ConfigurationAge,
+    ConfigurationAgeLimits, QuotaLimit, TenantSpec, check_access,
 };
 use sumacdrift_types::{AllowedRegions, Timestamp};
 
@@ -35,8 +35,12 @@
     age: Option<Duration>,
 ) -> Result<Option<String>, AccessRefusal> {
     let key = key.map(ApiKey::new);
-    let facts = AccessFacts { key: key.as_ref(), is_public, age };
-    let decision = decide(&table(), facts, KnowledgeLimits::withdrawn_within(Some(WITHDRAWN_WITHIN)));
+    let request = AccessRequest { key: key.as_ref(), is_public, age };
+    let decision = check_access(
+        &table(),
+        request,
+        ConfigurationAgeLimits::for_withdrawal_deadline(Some(WITHDRAWN_WITHIN)),
+    );
     decision.map(|tenant| tenant.map(|tenant| tenant.name.to_string()))
 }
 
@@ -75,9 +79,9 @@
 
 #[test]
 fn table_without_tenants_admits_all_callers() {
-    let facts = AccessFacts { key: None, is_public: false, age: None };
-    let limits = KnowledgeLimits::withdrawn_within(Some(WITHDRAWN_WITHIN));
-    assert_eq!(decide(&AccessTable::default(), facts, limits), Ok(None));
+    let request = AccessRequest { key: None, is_public: false, age: None };
+    let limits = ConfigurationAgeLimits::for_withdrawal_deadline(Some(WITHDRAWN_WITHIN));
+    assert_eq!(check_access(&AccessTable::default(), request, limits), Ok(None));
     assert!(!AccessTable::new(Vec::new()).expect("valid tenants").requires_keys());
 }
 
@@ -114,10 +118,10 @@
         let decided_at = sent + delay;
         // The answer to a read shows the store at some time between the request and the answer.
         let answered = reads.iter().filter(|(read_at, read_millis)| read_at + read_millis <= decided_at);
-        let mut knowledge = Knowledge::default();
+        let mut configuration_age = ConfigurationAge::default();
         let mut knows_withdrawal = false;
         for (read_at, read_millis) in answered {
-            knowledge.confirm(at(*read_at));
+            configuration_age.confirm(at(*read_at));
             let answered_at = read_at + read_millis;
             // Worst case: a read shows the withdrawal only where it must.
             knows_withdrawal |= *read_at >= withdrawn && answered_at >= withdrawn;
@@ -128,11 +132,15 @@
             AccessTable::new(vec![spec("alpha", &["k"])])
         };
         let key = ApiKey::new("k");
-        let facts = AccessFacts { key: Some(&key), is_public: false, age: knowledge.age(at(decided_at)) };
-        let decision = decide(
+        let request = AccessRequest {
+            key: Some(&key),
+            is_public: false,
+            age: configuration_age.age(at(decided_at)),
+        };
+        let decision = check_access(
             &table.expect("valid tenants"),
-            facts,
-            KnowledgeLimits::withdrawn_within(Some(WITHDRAWN_WITHIN)),
+            request,
+            ConfigurationAgeLimits::for_withdrawal_deadline(Some(WITHDRAWN_WITHIN)),
         );
         let is_late = sent > withdrawn + WITHDRAWN_WITHIN.as_millis() as u64;
         prop_assert!(
--- a/crates/access/tests/mutants.rs
+++ b/crates/access/tests/mutants.rs
@@ -8,8 +8,8 @@
 
 use simulation::{Workload, simulate};
 use sumacdrift_access::{
-    AccessFacts, AccessTable, ApiKey, KnowledgeLimits, QuotaCall, QuotaCounters, QuotaLimit, QuotaVerdict,
-    TenantSpec, decide,
+    AccessRequest, AccessTable, ApiKey, ConfigurationAgeLimits, QuotaCall, QuotaCounters, QuotaLimit,
+    QuotaVerdict, TenantSpec, check_access,
 };
 use sumacdrift_mutants::{Rule, with_broken};
 use sumacdrift_types::{AllowedRegions, Timestamp};
@@ -28,8 +28,8 @@
     };
     let table = AccessTable::new(vec![spec]).expect("valid tenants");
     let within = Duration::from_secs(5);
-    let facts = AccessFacts { key: Some(&key), is_public: false, age: Some(within * 2) };
-    decide(&table, facts, KnowledgeLimits::withdrawn_within(Some(within))).is_ok()
+    let request = AccessRequest { key: Some(&key), is_public: false, age: Some(within * 2) };
+    check_access(&table, request, ConfigurationAgeLimits::for_withdrawal_deadline(Some(within))).is_ok()
 }
 
 /// Calls that a node admits at once while peers report to it but none acknowledges its reports.
@@ -40,11 +40,11 @@
     let mut node = QuotaCounters::new("a", 1, at(0));
     let peer_report = |now| QuotaCounters::new("b", 1, at(0)).report(limit.window, now);
     for millis in (0..=6_000).step_by(100) {
-        node.heard(peer_report(at(millis)), at(millis));
+        node.apply_report(peer_report(at(millis)), at(millis));
         node.observe(&members, at(millis));
     }
     let call = QuotaCall { tenant: "t", program: None, limit, version: 1 };
-    let verdicts = (0..100).map(|_| node.ask(call, &members, at(6_050)));
+    let verdicts = (0..100).map(|_| node.check_call(call, &members, at(6_050)));
     verdicts.filter(|verdict| matches!(verdict, QuotaVerdict::Granted { .. })).count()
 }
 
@@ -53,7 +53,7 @@
     let limit = QuotaLimit { per_second: 100.0, burst: 100.0, window: Duration::from_secs(5) };
     let call = QuotaCall { tenant: "t", program: None, limit, version: 1 };
     let mut node = QuotaCounters::new("a", 1, Timestamp(0));
-    node.ask(call, &["a", "b", "c"], Timestamp(6_000_000)) != QuotaVerdict::Unsure
+    node.check_call(call, &["a", "b", "c"], Timestamp(6_000_000)) != QuotaVerdict::Unsure
 }
 
 /// Calls that a node may admit before others have acknowledged them: a fortieth of the limit of 600 calls a
--- a/crates/access/tests/quota_counters.rs
+++ b/crates/access/tests/quota_counters.rs
@@ -21,8 +21,8 @@
     for (index, node) in nodes.iter_mut().enumerate() {
         let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
         others.for_each(|(_, report)| {
-            node.heard(report.clone(), now);
-            node.acknowledged(&report.node, now);
+            node.apply_report(report.clone(), now);
+            node.record_acknowledgement(&report.node, now);
         });
         node.observe(&MEMBERS, now);
     }
@@ -42,7 +42,7 @@
 }
 
 fn ask(node: &mut QuotaCounters, now: u64) -> QuotaVerdict {
-    node.ask(call(LIMIT, 1, None), &MEMBERS, at(now))
+    node.check_call(call(LIMIT, 1, None), &MEMBERS, at(now))
 }
 
 fn count_granted(node: &mut QuotaCounters, times: u64, now: u64) -> u64 {
@@ -119,9 +119,9 @@
     );
     // Both peers receive the report and one acknowledges it: two of three nodes have it.
     let report = a.report(WINDOW, at(6_100));
-    b.heard(report.clone(), at(6_100));
-    c.heard(report, at(6_100));
-    a.acknowledged("b", at(6_100));
+    b.apply_report(report.clone(), at(6_100));
+    c.apply_report(report, at(6_100));
+    a.record_acknowledgement("b", at(6_100));
     assert_eq!(count_granted(&mut a, 100, 6_110), UNACKNOWLEDGED);
 }
 
@@ -132,8 +132,8 @@
     let early_report = a.report(WINDOW, at(6_060));
     count_granted(&mut a, 1, 6_070);
     exchange_reports(&mut [&mut a, &mut b, &mut c], at(6_100));
-    b.heard(early_report.clone(), at(6_110));
-    b.heard(early_report, at(6_120));
+    b.apply_report(early_report.clone(), at(6_110));
+    b.apply_report(early_report, at(6_120));
     assert!(matches!(ask(&mut b, 6_130), QuotaVerdict::Granted { counted: 5 }));
 }
 
@@ -190,7 +190,10 @@
 fn limit_of_the_newest_configuration_applies_to_all_callers() {
     let mut nodes = warm_nodes();
     let lower = QuotaLimit { per_second: 1.0, burst: 1.0, window: WINDOW };
-    assert!(matches!(nodes[0].ask(call(lower, 2, None), &MEMBERS, at(6_050)), QuotaVerdict::Granted { .. }));
+    assert!(matches!(
+        nodes[0].check_call(call(lower, 2, None), &MEMBERS, at(6_050)),
+        QuotaVerdict::Granted { .. }
+    ));
     // An edge with an older configuration asks with its higher limit.
     let (admitted, _) = ask_over_time(&mut nodes, 0, 100, 6_060);
     assert!(admitted <= 8, "{admitted}");
@@ -220,7 +223,7 @@
     for program in 0..100 {
         for _ in 0..10 {
             let other = QuotaCall { tenant: "u", ..call(wide, 1, Some(program)) };
-            nodes[0].ask(other, &MEMBERS, at(6_000));
+            nodes[0].check_call(other, &MEMBERS, at(6_000));
         }
     }
     let mut running: Vec<(u64, u32)> = Vec::new();
@@ -234,7 +237,7 @@
         running.sort_by_key(|(program, _)| shuffle_key(*program, tick));
         running.retain_mut(|(program, calls)| {
             let program_id = with_program_ids.then_some(*program);
-            let verdict = nodes[0].ask(call(LIMIT, 1, program_id), &MEMBERS, at(now));
+            let verdict = nodes[0].check_call(call(LIMIT, 1, program_id), &MEMBERS, at(now));
             let is_granted = matches!(verdict, QuotaVerdict::Granted { .. });
             started += u64::from(is_granted && *calls == 0);
             *calls += 1;
--- a/crates/access/tests/simulation/mod.rs
+++ b/crates/access/tests/simulation/mod.rs
@@ -85,7 +85,7 @@
         Workload::Tenant => {
             let per_second = [2.0, 10.0, 40.0, 150.0][rng.below(4) as usize];
             let limit = QuotaLimit { per_second, burst: per_second, window: WINDOW };
-            (limit, limit.most() as f64 * 1.1 + 20.0, 0)
+            (limit, limit.max_calls() as f64 * 1.1 + 20.0, 0)
         }
         Workload::ColdEngine => {
             let per_second = [8.0, 26.0, 60.0][rng.below(3) as usize];
@@ -187,14 +187,14 @@
         while self.acknowledged.front().is_some_and(|(arrives_at, ..)| *arrives_at <= now) {
             let Some((_, at, by, sent_at)) = self.acknowledged.pop_front() else { break };
             if self.fault(at, now).is_none() {
-                self.nodes[at].acknowledged(MEMBERS[by], Timestamp(sent_at * 1_000));
+                self.nodes[at].record_acknowledgement(MEMBERS[by], Timestamp(sent_at * 1_000));
             }
         }
         while self.reports.front().is_some_and(|(arrives_at, _, _, _)| *arrives_at <= now) {
             let Some((_, sent_at, from, report)) = self.reports.pop_front() else { break };
             for to in (0..MEMBERS.len()).filter(|to| *to != from) {
                 if self.fault(to, now).is_none() {
-                    self.nodes[to].heard(report.clone(), clock);
+                    self.nodes[to].apply_report(report.clone(), clock);
                     // The acknowledgement takes as long as the report did.
                     self.acknowledged.push_back((now + now - sent_at, from, to, sent_at));
                 }
@@ -221,7 +221,7 @@
             };
             let clock = Timestamp(now * 1_000);
             let verdict = match is_reachable {
-                true => self.nodes[node].ask(call, &MEMBERS, clock),
+                true => self.nodes[node].check_call(call, &MEMBERS, clock),
                 false => QuotaVerdict::Unsure,
             };
             if verdict != QuotaVerdict::Unsure {
@@ -261,7 +261,7 @@
                 requested.pop_front();
             }
             requested.push_back(now);
-            let is_within = requested.len() as u64 <= limit.most();
+            let is_within = requested.len() as u64 <= limit.max_calls();
             let edge = rng.below(simulation.scenario.edges);
             match simulation.ask(edge, now) {
                 Some((waited_millis, QuotaVerdict::Granted { .. })) => {
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use serde_json::{Value, json};
-use sumacdrift_http_client::{HttpClient, HttpError, next_piece};
+use sumacdrift_http_client::{HttpClient, HttpError, next_chunk};
 use sumacdrift_types::Usage;
 use tokio::time::Instant;
 
@@ -114,7 +114,7 @@
         let (head, mut body) = response.into_parts();
         if !head.status.is_success() {
             let mut bytes = Vec::new();
-            while let Ok(Some(piece)) = next_piece(&mut body).await {
+            while let Ok(Some(piece)) = next_chunk(&mut body).await {
                 bytes.extend_from_slice(&piece);
             }
             return ChatOutcome::Refused(to_refusal(&head.headers, &bytes));
@@ -230,7 +230,7 @@
     let mut first_token = None;
     let mut is_whole = false;
     loop {
-        match next_piece(body).await {
+        match next_chunk(body).await {
             Err(_) => return ChatOutcome::Broken { not_sent: false },
             Ok(None) => break,
             Ok(Some(piece)) => buffer.extend_from_slice(&piece),
--- a/crates/bench/src/choices.rs
+++ b/crates/bench/src/choices.rs
@@ -4,10 +4,12 @@
 
 use serde::Serialize;
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{EngineLoad, Loads, PartHeld, engine_key};
-use sumacdrift_routing::{EngineBook, EngineSpec, PartNeed, PlacementRequest, RequestedWork, TrafficPrices};
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{AllowedRegions, Location, SwitchedOff, Timestamp};
+use sumacdrift_fleet_view::{CachedPart, EngineLoad, Loads, engine_key};
+use sumacdrift_routing::{
+    EngineRegistry, EngineSpec, PlacementRequest, RequestedWork, RequiredPart, TrafficPrices,
+};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, Timestamp};
 
 /// Numbers of engines that are measured.
 pub(crate) const ENGINES: [usize; 5] = [12, 400, 3_900, 8_714, 17_428];
@@ -39,7 +41,7 @@
 fn measure(engines: usize, in_use: usize) -> ChoiceSlope {
     let now = Timestamp::default() + Duration::from_secs(10);
     let book = book(engines, in_use, now);
-    let parts = [PartNeed { part: 1, tokens: 2_560 }, PartNeed { part: 2, tokens: 6_000 }];
+    let parts = [RequiredPart { part: 1, tokens: 2_560 }, RequiredPart { part: 2, tokens: 6_000 }];
     let begun = Instant::now();
     let mut chosen = 0;
     for key in 0..CHOICES {
@@ -51,7 +53,7 @@
             kilobytes: 8.0,
             is_connected: &|_| true,
             avoid: &[],
-            rather_not: &[],
+            deprioritized: &[],
             only: None,
         };
         chosen += usize::from(book.choose(&request, now).is_some());
@@ -61,28 +63,28 @@
 }
 
 /// A book of engines, some of which are in use and partly hold the prompt.
-fn book(engines: usize, in_use: usize, now: Timestamp) -> EngineBook {
-    let mut book = EngineBook::new(
+fn book(engines: usize, in_use: usize, now: Timestamp) -> EngineRegistry {
+    let mut book = EngineRegistry::new(
         Location::in_zone("a"),
         TrafficPrices::default(),
-        SwitchedOff::default(),
-        HealthSettings::default(),
+        DisabledMechanisms::default(),
+        CircuitBreakerSettings::default(),
     );
     let id = |engine: usize| format!("engine-{engine}");
     for engine in 0..engines {
         book.upsert(spec(&id(engine), ZONES[engine % ZONES.len()]), now);
     }
-    book.settle(|_| false, now);
+    book.regroup_interchangeable(|_| false, now);
     for engine in 0..in_use {
-        book.sent(&EngineId::new(&id(engine)), 100, now);
+        book.record_sent(&EngineId::new(&id(engine)), 100, now);
     }
     for engine in 0..HOLDERS.min(engines) {
         let engine = engine_key(&id(engine));
-        book.holds(PartHeld { part: 1, engine, tokens: 2_560 }, now);
+        book.record_cached_part(CachedPart { part: 1, engine, tokens: 2_560 }, now);
     }
-    book.holds(PartHeld { part: 2, engine: engine_key(&id(0)), tokens: 5_000 }, now);
+    book.record_cached_part(CachedPart { part: 2, engine: engine_key(&id(0)), tokens: 5_000 }, now);
     let load = |engine| EngineLoad { engine: engine_key(&id(engine)), running: 6, ..EngineLoad::default() };
-    book.others_told(&Loads { engines: (0..in_use).map(load).collect() }, now);
+    book.apply_peer_loads(&Loads { engines: (0..in_use).map(load).collect() }, now);
     book
 }
 
@@ -94,7 +96,7 @@
         zone: zone.into(),
         slots: 16,
         is_leaving: false,
-        cold_left: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         report: 1,
     }
 }
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use slog::Logger;
 use sumacdrift_emulator::EngineSettings;
-use sumacdrift_http_client::{HttpClient, next_piece};
+use sumacdrift_http_client::{HttpClient, next_chunk};
 use tokio::sync::Barrier;
 use tokio::time::Instant;
 
@@ -219,7 +219,7 @@
     let mut body = response.into_body();
     let mut last = None;
     let mut tokens = 0;
-    while let Ok(Some(piece)) = next_piece(&mut body).await {
+    while let Ok(Some(piece)) = next_chunk(&mut body).await {
         let arrived = Instant::now();
         for _ in 0..count_tokens(&piece) {
             match last {
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -8,7 +8,7 @@
 use sumacdrift_program::{Answer, BeginTurn, BudgetLimits, Command, FinishTurn, KnownPrefix, Runner};
 use sumacdrift_proto::{GroupMessage, OneWay, Wire};
 use sumacdrift_replication::{AppendEntries, Configuration, Message, ReplicaId};
-use sumacdrift_scheduling::{EngineQueue, QueueSettings, Work, context_prefixes};
+use sumacdrift_scheduling::{EngineQueue, EngineWork, QueueSettings, context_prefixes};
 use sumacdrift_shard::{ProgramShard, ShardSettings};
 use sumacdrift_types::{
     CallId, ChatMessage, EngineName, HistoryMode, Incarnation, InvalidName, NodeId, ProgramId, RegionName,
@@ -284,7 +284,7 @@
     for number in 0..queued + running {
         let program = ProgramId::new(&format!("program-{number}"))?;
         let messages = [ChatMessage::assistant(&format!("context of {program}"))];
-        let work = Work {
+        let work = EngineWork {
             call: CallId(number as u128),
             program,
             tenant: TenantName::new("tenant")?,
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -281,7 +281,7 @@
     let client = sumacdrift_http_client::HttpClient::new();
     let response = client.send(request, Duration::from_secs(20)).await.expect("an answer begins");
     let mut body = response.into_body();
-    sumacdrift_http_client::next_piece(&mut body).await.expect("a piece");
+    sumacdrift_http_client::next_chunk(&mut body).await.expect("a piece");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/calls/src/head.rs
+++ b/crates/calls/src/head.rs
@@ -54,7 +54,7 @@
     }
 
     /// Text that differs between processes of the same engine: `name@start`, or `name` if the start time is unknown.
-    pub fn life_text(&self) -> Cow<'_, str> {
+    pub fn incarnation_text(&self) -> Cow<'_, str> {
         match self.start.is_known() {
             true => Cow::Owned(format!("{}@{}", self.name, self.start.unix_millis)),
             false => Cow::Borrowed(&self.name),
@@ -70,7 +70,7 @@
 
 impl fmt::Debug for EngineId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.life_text())
+        formatter.write_str(&self.incarnation_text())
     }
 }
 
@@ -94,7 +94,7 @@
 
 /// The program that a call belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ProgramHead {
+pub struct ProgramMetadata {
     /// Id of the program.
     pub program: String,
     /// The sequence of turns within the program; each sub-agent has its own.
@@ -108,12 +108,12 @@
 /// Metadata of a call, as its caller supplies it.
 #[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallHead {
+pub struct CallMetadata {
     /// Unique id assigned by the caller.
     pub id: String,
     /// The caller's timeout.
     pub time_left: Option<Duration>,
-    pub program: Option<ProgramHead>,
+    pub program: Option<ProgramMetadata>,
     /// Affinity key: calls with the same key run faster on the same engine.
     pub affinity: Option<String>,
     pub usage: Option<TokenUsage>,
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,8 +1,8 @@
 //! Protocol-independent calls and the state machine that decides on retries.
 //!
-//! Each front end (OpenAI chat, plain HTTP) maps a request to a [`CallHead`]. [`CallMachine`] alone decides whether a
-//! call may be retried, how many engines may run it and what its caller is told. It does no I/O and reads no clock:
-//! the driver reports events and carries out the returned [`Next`] step.
+//! Each front end (OpenAI chat, plain HTTP) maps a request to a [`CallMetadata`]. [`CallMachine`] alone decides
+//! whether a call may be retried, how many engines may run it and what its caller is told. It does no I/O and
+//! reads no clock: the driver reports events and carries out the returned [`Next`] step.
 
 mod events;
 mod head;
@@ -10,6 +10,6 @@
 mod rules;
 
 pub use events::{EventSplitter, StreamEvent};
-pub use head::{CallHead, EngineId, EngineStart, ProgramHead, PromptPart, TokenUsage};
+pub use head::{CallMetadata, EngineId, EngineStart, ProgramMetadata, PromptPart, TokenUsage};
 pub use machine::{CallMachine, Failure, Next};
 pub use rules::{CallKind, CallRules};
--- a/crates/calls/src/machine.rs
+++ b/crates/calls/src/machine.rs
@@ -150,11 +150,11 @@
 
     /// The first step.
     pub fn begin(&self, now: Timestamp) -> Next {
-        if now >= self.deadline { self.expired() } else { self.next_attempt() }
+        if now >= self.deadline { self.end_expired() } else { self.next_attempt() }
     }
 
     /// Records that the call is being sent to an engine, which may run it from now on.
-    pub fn sent(&mut self, engine: &EngineId) {
+    pub fn record_sent(&mut self, engine: &EngineId) {
         self.in_flight = Some(engine.clone());
     }
 
@@ -170,12 +170,12 @@
     }
 
     /// Records that the head of a stream was sent to the caller.
-    pub fn head_given(&mut self) {
+    pub fn record_head_sent(&mut self) {
         self.stage = Stage::Streaming;
     }
 
     /// Records that an event was sent to the caller.
-    pub fn event_given(&mut self, id: Option<String>) {
+    pub fn record_event_sent(&mut self, id: Option<String>) {
         self.events += 1;
         if id.is_some() {
             self.last_event = id;
@@ -183,30 +183,30 @@
     }
 
     /// Ends the call because no engine can be chosen.
-    pub fn no_engine(&self, code: ResultCode) -> Next {
+    pub fn end_without_engine(&self, code: ResultCode) -> Next {
         self.finish(code)
     }
 
-    /// Refuses the call, which was not sent, because there is no capacity for it.
-    pub fn no_room(&self, retry_after: Duration) -> Next {
+    /// Rejects the call, which was not sent, because there is no capacity for it.
+    pub fn reject_overloaded(&self, retry_after: Duration) -> Next {
         Next::Refuse { code: ResultCode::Overloaded, retry_after }
     }
 
     /// Ends the call because its caller's access was denied.
-    pub fn denied(&self, code: ResultCode) -> Next {
+    pub fn end_denied(&self, code: ResultCode) -> Next {
         self.finish(code)
     }
 
     /// Ends the call because its deadline has passed.
-    pub fn expired(&self) -> Next {
+    pub fn end_expired(&self) -> Next {
         self.finish(ResultCode::DeadlineExceeded)
     }
 
     /// Records a failed attempt and returns the next step.
-    pub fn failed(&mut self, engine: &EngineId, failure: Failure, now: Timestamp) -> Next {
-        self.record_failure(engine, failure);
+    pub fn record_failure(&mut self, engine: &EngineId, failure: Failure, now: Timestamp) -> Next {
+        self.update_attempts(engine, failure);
         if now >= self.deadline {
-            return self.expired();
+            return self.end_expired();
         }
         match failure {
             Failure::Withheld => self.next_attempt(),
@@ -222,7 +222,7 @@
         }
     }
 
-    fn record_failure(&mut self, engine: &EngineId, failure: Failure) {
+    fn update_attempts(&mut self, engine: &EngineId, failure: Failure) {
         self.in_flight = None;
         match failure {
             // Engine selection already excludes this engine.
--- a/crates/calls/tests/machine.rs
+++ b/crates/calls/tests/machine.rs
@@ -42,7 +42,7 @@
 fn once_call_that_may_have_run_is_not_retried() {
     for failure in [Failure::Lost, Failure::Spoiled] {
         let mut machine = machine(CallKind::Once, 5);
-        let next = machine.failed(&engine("a"), failure, START);
+        let next = machine.record_failure(&engine("a"), failure, START);
         assert!(matches!(next, Next::Fail { .. }), "{failure:?} led to {next:?}");
     }
 }
@@ -50,9 +50,9 @@
 #[test]
 fn rejected_call_is_retried_on_another_engine() {
     let mut machine = machine(CallKind::Once, 1);
-    let next = machine.failed(&engine("a"), REJECTED, START);
+    let next = machine.record_failure(&engine("a"), REJECTED, START);
     assert_eq!(excluded_engines(&next), ["a"]);
-    let next = machine.failed(&engine("b"), Failure::NotSent, START);
+    let next = machine.record_failure(&engine("b"), Failure::NotSent, START);
     assert_eq!(excluded_engines(&next), ["a", "b"]);
 }
 
@@ -60,31 +60,34 @@
 fn call_is_refused_only_if_it_cannot_have_run() {
     let mut once = machine(CallKind::Once, 1);
     for name in ["a", "b"] {
-        once.failed(&engine(name), REJECTED, START);
+        once.record_failure(&engine(name), REJECTED, START);
     }
     let wait = Duration::from_millis(700);
-    let next = once.failed(&engine("c"), Failure::Rejected { retry_after: Some(wait) }, START);
+    let next = once.record_failure(&engine("c"), Failure::Rejected { retry_after: Some(wait) }, START);
     assert_eq!(next, Next::Refuse { code: ResultCode::Overloaded, retry_after: wait });
 
     let mut repeatable = machine(CallKind::Repeatable, 5);
-    repeatable.failed(&engine("a"), Failure::Lost, START);
-    assert!(matches!(repeatable.no_engine(ResultCode::NoEngine), Next::Fail { code: ResultCode::NoEngine }));
+    repeatable.record_failure(&engine("a"), Failure::Lost, START);
+    assert!(matches!(
+        repeatable.end_without_engine(ResultCode::NoEngine),
+        Next::Fail { code: ResultCode::NoEngine }
+    ));
 }
 
 #[test]
 fn call_runs_on_at_most_max_engines() {
     let mut machine = machine(CallKind::Repeatable, 2);
-    assert_eq!(excluded_engines(&machine.failed(&engine("a"), Failure::Lost, START)), ["a"]);
-    let next = machine.failed(&engine("b"), Failure::Lost, START);
+    assert_eq!(excluded_engines(&machine.record_failure(&engine("a"), Failure::Lost, START)), ["a"]);
+    let next = machine.record_failure(&engine("b"), Failure::Lost, START);
     assert_eq!(next, Next::Try { avoid: Vec::new(), rather_not: Vec::new(), only: Some(engine("b")) });
 }
 
 #[test]
 fn stream_resumes_on_the_last_engine_when_max_engines_is_reached() {
     let mut machine = machine(CallKind::Stream { resumable: true }, 1);
-    machine.head_given();
-    machine.event_given(Some("4".to_owned()));
-    let next = machine.failed(&engine("a"), Failure::Lost, START);
+    machine.record_head_sent();
+    machine.record_event_sent(Some("4".to_owned()));
+    let next = machine.record_failure(&engine("a"), Failure::Lost, START);
     assert_eq!(next, Next::Try { avoid: Vec::new(), rather_not: Vec::new(), only: Some(engine("a")) });
     assert_eq!(machine.resume_after(), Some("4"));
 }
@@ -92,18 +95,18 @@
 #[test]
 fn non_resumable_stream_is_aborted() {
     let mut machine = machine(CallKind::Stream { resumable: false }, 3);
-    machine.head_given();
-    machine.event_given(Some("1".to_owned()));
-    let next = machine.failed(&engine("a"), Failure::Lost, START);
+    machine.record_head_sent();
+    machine.record_event_sent(Some("1".to_owned()));
+    let next = machine.record_failure(&engine("a"), Failure::Lost, START);
     assert_eq!(next, Next::BreakOff { code: ResultCode::BackEndCut });
 }
 
 #[test]
 fn stream_without_event_ids_is_aborted() {
     let mut machine = machine(CallKind::Stream { resumable: true }, 3);
-    machine.head_given();
-    machine.event_given(None);
-    assert!(matches!(machine.failed(&engine("a"), Failure::Lost, START), Next::BreakOff { .. }));
+    machine.record_head_sent();
+    machine.record_event_sent(None);
+    assert!(matches!(machine.record_failure(&engine("a"), Failure::Lost, START), Next::BreakOff { .. }));
 }
 
 #[test]
@@ -111,11 +114,11 @@
     let late = START + Duration::from_secs(2);
     let mut sent = machine(CallKind::Repeatable, 3);
     assert_eq!(
-        sent.failed(&engine("a"), Failure::Lost, late),
+        sent.record_failure(&engine("a"), Failure::Lost, late),
         Next::Fail { code: ResultCode::DeadlineExceeded }
     );
     let mut unsent = machine(CallKind::Repeatable, 3);
-    assert!(matches!(unsent.failed(&engine("a"), Failure::NotSent, late), Next::Refuse { .. }));
+    assert!(matches!(unsent.record_failure(&engine("a"), Failure::NotSent, late), Next::Refuse { .. }));
     assert!(matches!(unsent.begin(late), Next::Refuse { .. }));
 }
 
@@ -124,7 +127,8 @@
     for failure in [Failure::NotSent, REJECTED, Failure::WrongEngine, Failure::Lost] {
         let mut machine = machine(CallKind::Repeatable, 100);
         let mut attempts = 0;
-        while let Next::Try { .. } = machine.failed(&engine(&format!("e{attempts}")), failure, START) {
+        while let Next::Try { .. } = machine.record_failure(&engine(&format!("e{attempts}")), failure, START)
+        {
             attempts += 1;
             assert!(attempts < 10, "retries after {failure:?} are unbounded");
         }
@@ -145,17 +149,17 @@
 #[test]
 fn call_in_flight_is_not_reported_as_not_run() {
     let mut machine = machine(CallKind::Once, 1);
-    machine.sent(&engine("a"));
-    assert!(matches!(machine.expired(), Next::Fail { .. }));
-    machine.failed(&engine("a"), REJECTED, START);
-    assert!(matches!(machine.expired(), Next::Refuse { .. }));
+    machine.record_sent(&engine("a"));
+    assert!(matches!(machine.end_expired(), Next::Fail { .. }));
+    machine.record_failure(&engine("a"), REJECTED, START);
+    assert!(matches!(machine.end_expired(), Next::Refuse { .. }));
 }
 
 #[test]
 fn stream_with_forbidden_resumption_is_aborted() {
     let mut machine = machine(CallKind::Stream { resumable: true }, 3);
-    machine.head_given();
-    machine.event_given(Some("1".to_owned()));
+    machine.record_head_sent();
+    machine.record_event_sent(Some("1".to_owned()));
     machine.forbid_resumption();
-    assert!(matches!(machine.failed(&engine("a"), Failure::Lost, START), Next::BreakOff { .. }));
+    assert!(matches!(machine.record_failure(&engine("a"), Failure::Lost, START), Next::BreakOff { .. }));
 }
--- a/crates/ctl/src/cause.rs
+++ b/crates/ctl/src/cause.rs
@@ -102,8 +102,8 @@
 }
 
 fn explain_given_up(end: &LogLine, story: &Story) -> String {
-    if let Some(no_room) = story.lines.iter().rev().find(|line| line.event == "no_room") {
-        return format!("{}: {}", result_title(end), explain_no_room(no_room));
+    if let Some(rejection) = story.lines.iter().rev().find(|line| line.event == "no_room") {
+        return format!("{}: {}", result_title(end), explain_no_room(rejection));
     }
     let execution = match end.number("runs") {
         Some(0) => "no engine ran it",
--- a/crates/edge/src/access.rs
+++ b/crates/edge/src/access.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use slog::info;
-use sumacdrift_access::{AccessFacts, AccessRefusal, ApiKey, QuotaCall, Tenant, decide};
-use sumacdrift_calls::{CallHead, CallMachine};
+use sumacdrift_access::{AccessRefusal, AccessRequest, ApiKey, QuotaCall, Tenant, check_access};
+use sumacdrift_calls::{CallMachine, CallMetadata};
 use sumacdrift_storage::QuotaOutcome;
 use sumacdrift_types::{ResultCode, stable_hash};
 
-use crate::dialect::Dialect;
 use crate::edge::Edge;
+use crate::wire_format::WireFormat;
 
 /// Retry delay if the configuration is too old to check keys, with a jitter of ±25 % so that callers don't retry
 /// all at once. The store has usually been unreachable for seconds and stays so for about as long again, which few
@@ -52,12 +52,12 @@
     age: Option<Duration>,
 }
 
-impl<D: Dialect> Edge<D> {
+impl<D: WireFormat> Edge<D> {
     /// Admits or denies a caller by its key. If the configuration is too old to decide, waits for a confirmation
     /// for a while: the store may become reachable at any moment, and callers have few retries.
     pub(crate) async fn admit(
         &self,
-        head: &CallHead,
+        head: &CallMetadata,
         key: Option<ApiKey>,
         is_public: bool,
         machine: &CallMachine,
@@ -80,7 +80,7 @@
     }
 
     /// Checks an admitted caller again, so that a key withdrawn meanwhile starts no further attempts.
-    pub(crate) fn recheck_access(&self, head: &CallHead, caller: &Caller) -> Result<(), ResultCode> {
+    pub(crate) fn recheck_access(&self, head: &CallMetadata, caller: &Caller) -> Result<(), ResultCode> {
         let decision = self.decide_access(caller.key.as_ref(), caller.is_public);
         let outcome = self.report_access(&head.id, caller.key.is_some(), Duration::ZERO, decision);
         outcome.map(drop).map_err(AccessRefusal::code)
@@ -89,9 +89,10 @@
     fn decide_access(&self, key: Option<&ApiKey>, is_public: bool) -> AccessDecision {
         let table = self.routes().table().cloned();
         let age = self.configuration_age();
-        let facts = AccessFacts { key, is_public, age };
-        let outcome =
-            table.as_ref().map_or(Ok(None), |table| decide(&table.access, facts, self.settings.knowledge));
+        let request = AccessRequest { key, is_public, age };
+        let outcome = table.as_ref().map_or(Ok(None), |table| {
+            check_access(&table.access, request, self.settings.configuration_age_limits)
+        });
         let requires_keys = table.as_ref().is_some_and(|table| table.access.requires_keys());
         AccessDecision { outcome, requires_keys, version: table.map(|table| table.version), age }
     }
@@ -110,7 +111,7 @@
             info!(self.logger, "caller denied"; "event" => "access_refused", "call" => call,
                 "code" => refusal.code().number(), "reason" => %refusal, "has_key" => has_key,
                 "version" => version, "age_ms" => age.map(millis), "waited_ms" => millis(waited),
-                "limit_ms" => self.settings.knowledge.known_key.map(millis));
+                "limit_ms" => self.settings.configuration_age_limits.known_key.map(millis));
         }
         outcome
     }
@@ -118,7 +119,7 @@
     /// Counts the call against its tenant's quota; denies it if the quota is used up or can't be checked.
     pub(crate) async fn check_quota(
         &self,
-        head: &CallHead,
+        head: &CallMetadata,
         caller: &Caller,
         machine: &CallMachine,
     ) -> Result<(), Denied> {
@@ -148,7 +149,7 @@
         self.metrics.record_given_up(denied.code);
         info!(self.logger, "call rejected by its tenant's quota"; "event" => "quota_refused", "call" => &head.id,
             "tenant" => &*tenant.name, "code" => denied.code.number(), "counted" => counted,
-            "most" => limit.most(), "version" => version, "waited_ms" => millis(waited),
+            "most" => limit.max_calls(), "version" => version, "waited_ms" => millis(waited),
             "retry_after_ms" => denied.retry_after.map(millis));
         Err(denied)
     }
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -7,19 +7,20 @@
 use http::{HeaderMap, Method, Request, Uri, request, response};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use sumacdrift_calls::{CallHead, CallMachine, EngineId, Failure, Next};
+use sumacdrift_calls::{CallMachine, CallMetadata, EngineId, Failure, Next};
 use sumacdrift_routing::{
-    Outcome, PartNeed, Permit, Placed, PlacementRequest, RequestedWork, Selected, UrgencyFacts, urgency,
+    Outcome, Permit, Placement, PlacementRequest, RequestedWork, RequiredPart, SelectedRoute, UrgencyInput,
+    urgency,
 };
 use sumacdrift_types::{AllowedRegions, Mechanism, ResultCode, Timestamp, stable_hash};
 
 use crate::access::Caller;
-use crate::dialect::{AnswerKind, Dialect, EngineAttempt, KeyUse};
 use crate::edge::Edge;
 use crate::engine_pool::SendError;
 use crate::engine_run::EngineRun;
 use crate::headers::without_hop_by_hop;
 use crate::service_queues::QueueSlot;
+use crate::wire_format::{EngineAttempt, KeyHandling, ResponseKind, WireFormat};
 
 /// Assumed duration of a buffered call on a route without observations.
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(50);
@@ -34,10 +35,16 @@
 }
 
 impl ForwardedRequest {
-    pub(crate) fn new<D: Dialect>(dialect: &D, caller: &Caller, head: &request::Parts, body: Bytes) -> Self {
-        let keys = if caller.has_checked_key { KeyUse::System } else { KeyUse::Engines };
+    pub(crate) fn new<D: WireFormat>(
+        wire_format: &D,
+        caller: &Caller,
+        head: &request::Parts,
+        body: Bytes,
+    ) -> Self {
+        let keys =
+            if caller.has_checked_key { KeyHandling::CheckedByEdge } else { KeyHandling::ForwardedToEngines };
         let mut headers = without_hop_by_hop(&head.headers);
-        dialect.drop_owned(&mut headers, keys);
+        wire_format.remove_reserved_headers(&mut headers, keys);
         let path = head.uri.path_and_query().cloned();
         let uri = path.map_or_else(|| head.uri.clone(), Uri::from);
         Self { method: head.method.clone(), uri, headers, body }
@@ -45,21 +52,21 @@
 }
 
 /// State of a call that its attempts share.
-pub(crate) struct CallContext<D: Dialect> {
+pub(crate) struct CallContext<D: WireFormat> {
     pub(crate) edge: Arc<Edge<D>>,
-    pub(crate) head: CallHead,
+    pub(crate) head: CallMetadata,
     pub(crate) caller: Caller,
-    pub(crate) selected: Selected,
+    pub(crate) selected: SelectedRoute,
     pub(crate) forwarded: ForwardedRequest,
     /// Prompt parts of a stream; empty for other calls.
-    pub(crate) parts: Vec<PartNeed>,
+    pub(crate) parts: Vec<RequiredPart>,
     pub(crate) accepted: Timestamp,
     pub(crate) regions: AllowedRegions,
     /// The slot that the call holds in its service's queue; `None` if calls are not queued.
     pub(crate) slot: Option<QueueSlot<D>>,
 }
 
-impl<D: Dialect> CallContext<D> {
+impl<D: WireFormat> CallContext<D> {
     /// Records how long a served call took since it was accepted, without its time in the queue.
     pub(crate) fn observe_served(&self, elapsed: Duration) {
         let waited = self.slot.as_ref().map_or(Duration::ZERO, |slot| slot.waited);
@@ -72,7 +79,7 @@
     }
 
     fn no_engine_code(&self) -> ResultCode {
-        if self.regions.are_all() { ResultCode::NoEngine } else { ResultCode::NoEngineInRegion }
+        if self.regions.is_unrestricted() { ResultCode::NoEngine } else { ResultCode::NoEngineInRegion }
     }
 
     fn has_sticky_affinity(&self) -> bool {
@@ -93,14 +100,14 @@
 }
 
 /// An engine's response that may be forwarded.
-pub(crate) struct EngineResponse<D: Dialect> {
+pub(crate) struct EngineResponse<D: WireFormat> {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
     pub(crate) run: EngineRun<D>,
 }
 
 /// Attempts engines until one responds or the call must be given up.
-pub(crate) async fn attempt_until_response<D: Dialect>(
+pub(crate) async fn attempt_until_response<D: WireFormat>(
     call: &CallContext<D>,
     machine: &mut CallMachine,
     first: Next,
@@ -110,27 +117,27 @@
     loop {
         let Next::Try { avoid, rather_not, only } = next else { return Err(next) };
         if let Err(code) = call.edge.recheck_access(&call.head, &call.caller) {
-            return Err(machine.denied(code));
+            return Err(machine.end_denied(code));
         }
         if call.edge.clock.now() >= machine.deadline() {
-            return Err(machine.expired());
+            return Err(machine.end_expired());
         }
-        let restrictions = Restrictions { avoid: &avoid, rather_not: &rather_not, only: only.as_ref() };
-        let (placed, permit) = match select_engine(call, machine, &restrictions, permit_deadline).await {
-            Placement::Selected(placed, permit) => (placed, permit),
-            Placement::PermitDenied => {
+        let restrictions = Restrictions { avoid: &avoid, deprioritized: &rather_not, only: only.as_ref() };
+        let (placement, permit) = match select_engine(call, machine, &restrictions, permit_deadline).await {
+            Selection::Selected(placement, permit) => (placement, permit),
+            Selection::PermitDenied => {
                 next = Next::Try { avoid, rather_not, only };
                 continue;
             }
-            Placement::NoEngine => return Err(machine.no_engine(call.no_engine_code())),
+            Selection::NoEngine => return Err(machine.end_without_engine(call.no_engine_code())),
         };
-        machine.sent(&placed.engine);
-        match try_engine(call, machine, &placed, permit).await {
+        machine.record_sent(&placement.engine);
+        match try_engine(call, machine, &placement, permit).await {
             Ok(response) => return Ok(response),
             Err(failure) => {
                 let now = call.edge.clock.now();
-                next = machine.failed(&placed.engine, failure, now);
-                call.report_failure(&placed, failure, &next);
+                next = machine.record_failure(&placement.engine, failure, now);
+                call.report_failure(&placement, failure, &next);
             }
         }
     }
@@ -139,13 +146,13 @@
 /// Restrictions from earlier attempts, see [`Next::Try`].
 struct Restrictions<'a> {
     avoid: &'a [EngineId],
-    rather_not: &'a [EngineId],
+    deprioritized: &'a [EngineId],
     only: Option<&'a EngineId>,
 }
 
-enum Placement {
+enum Selection {
     /// With a permit if the engine is cold.
-    Selected(Placed, Option<Permit>),
+    Selected(Placement, Option<Permit>),
     /// No permit is available now; select again, as other engines may be eligible.
     PermitDenied,
     NoEngine,
@@ -153,46 +160,49 @@
 
 /// Selects an engine and acquires a permit if it is cold. If only cold engines without a permit are eligible, waits
 /// until the next permit may be requested, since a rejected caller has few retries.
-async fn select_engine<D: Dialect>(
+async fn select_engine<D: WireFormat>(
     call: &CallContext<D>,
     machine: &CallMachine,
     restrictions: &Restrictions<'_>,
     permit_deadline: Timestamp,
-) -> Placement {
+) -> Selection {
     let edge = &call.edge;
-    let Some(placed) = choose_eligible(call, restrictions) else {
+    let Some(placement) = choose_eligible(call, restrictions) else {
         let now = edge.clock.now();
         let next_permit =
-            with_placement_request(call, restrictions, |request| edge.engines().cold_again_at(request, now));
+            with_placement_request(call, restrictions, |request| edge.engines().next_permit_at(request, now));
         return match next_permit.filter(|next_permit| *next_permit <= permit_deadline) {
             Some(next_permit) => {
                 tokio::time::sleep_until(edge.clock.instant(next_permit)).await;
-                Placement::PermitDenied
+                Selection::PermitDenied
             }
-            None => Placement::NoEngine,
+            None => Selection::NoEngine,
         };
     };
-    let Some(cold) = placed.cold else { return Placement::Selected(placed, None) };
-    match edge.acquire_permit(&call.head, &placed.engine, cold, machine).await {
-        Some(permit) => Placement::Selected(placed, Some(permit)),
-        None => Placement::PermitDenied,
+    let Some(cold) = placement.cold else { return Selection::Selected(placement, None) };
+    match edge.acquire_permit(&call.head, &placement.engine, cold, machine).await {
+        Some(permit) => Selection::Selected(placement, Some(permit)),
+        None => Selection::PermitDenied,
     }
 }
 
-fn choose_eligible<D: Dialect>(call: &CallContext<D>, restrictions: &Restrictions<'_>) -> Option<Placed> {
+fn choose_eligible<D: WireFormat>(
+    call: &CallContext<D>,
+    restrictions: &Restrictions<'_>,
+) -> Option<Placement> {
     let now = call.edge.clock.now();
     with_placement_request(call, restrictions, |request| call.edge.engines().choose(request, now))
 }
 
 /// Calls `ask` with the call's placement request.
-fn with_placement_request<D: Dialect, T>(
+fn with_placement_request<D: WireFormat, T>(
     call: &CallContext<D>,
     restrictions: &Restrictions<'_>,
     ask: impl FnOnce(&PlacementRequest<'_>) -> T,
 ) -> T {
     let work = match call.selected.route.rules.kind.is_stream() {
         true => RequestedWork::Stream { parts: &call.parts },
-        false => RequestedWork::Whole {
+        false => RequestedWork::Buffered {
             usual: call.typical_time().unwrap_or(DEFAULT_CALL_TIME),
             is_sticky: call.has_sticky_affinity(),
         },
@@ -205,23 +215,23 @@
         kilobytes: call.forwarded.body.len() as f64 / BYTES_PER_KILOBYTE,
         is_connected: &|engine| call.edge.pool.is_connected(engine),
         avoid: restrictions.avoid,
-        rather_not: restrictions.rather_not,
+        deprioritized: restrictions.deprioritized,
         only: restrictions.only,
     })
 }
 
-async fn try_engine<D: Dialect>(
+async fn try_engine<D: WireFormat>(
     call: &CallContext<D>,
     machine: &CallMachine,
-    placed: &Placed,
+    placement: &Placement,
     permit: Option<Permit>,
 ) -> Result<EngineResponse<D>, Failure> {
     let edge = &call.edge;
-    let mut run = EngineRun::begin(edge, placed);
-    let request = engine_request(call, machine, placed);
+    let mut run = EngineRun::begin(edge, placement);
+    let request = engine_request(call, machine, placement);
     let deadline = edge.clock.instant(machine.deadline());
-    let may_send = || edge.engines().may_send(&placed.engine, permit, edge.clock.now());
-    let sending = edge.pool.send(&placed.engine, placed.address, request, &may_send);
+    let may_send = || edge.engines().may_send(&placement.engine, permit, edge.clock.now());
+    let sending = edge.pool.send(&placement.engine, placement.address, request, &may_send);
     let response = match tokio::time::timeout_at(deadline, sending).await {
         Err(_) => {
             run.fail(Outcome::Faulty);
@@ -243,14 +253,14 @@
         Ok(Ok(response)) => response,
     };
     run.record_connection(response.connection, response.connect_time);
-    let failure = match edge.dialect.read_answer(&response.head, &call.head) {
-        AnswerKind::Genuine => {
+    let failure = match edge.wire_format.classify_response(&response.head, &call.head) {
+        ResponseKind::Valid => {
             return Ok(EngineResponse { head: response.head, body: response.body, run });
         }
-        AnswerKind::NotRun { retry_after } => Failure::Rejected { retry_after },
-        AnswerKind::WrongEngine => Failure::WrongEngine,
-        AnswerKind::Foreign => Failure::Lost,
-        AnswerKind::Spoiled => Failure::Spoiled,
+        ResponseKind::Rejected { retry_after } => Failure::Rejected { retry_after },
+        ResponseKind::WrongEngine => Failure::WrongEngine,
+        ResponseKind::Mismatched => Failure::Lost,
+        ResponseKind::Invalid => Failure::Spoiled,
     };
     run.fail(match failure {
         Failure::Rejected { .. } => Outcome::Busy,
@@ -261,37 +271,37 @@
 }
 
 /// Urgency of a program's turn; `None` for other calls, which get the engine's default.
-fn urgency_of<D: Dialect>(call: &CallContext<D>) -> Option<u8> {
-    if !call.edge.settings.off.allows(Mechanism::Urgency) {
+fn urgency_of<D: WireFormat>(call: &CallContext<D>) -> Option<u8> {
+    if !call.edge.settings.disabled.is_enabled(Mechanism::Urgency) {
         return None;
     }
     let route = &call.selected.route;
     let program = call.head.program.as_ref().filter(|_| route.rules.kind.is_stream())?;
     let elapsed = call.edge.clock.now().since(call.accepted);
     let tenant = call.caller.tenant.as_ref();
-    Some(urgency(&UrgencyFacts {
+    Some(urgency(&UrgencyInput {
         // A tenant's priority overrides its route's.
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.rules.priority),
         program_hash: stable_hash(&[program.program.as_bytes()]),
         program_time_left: program.time_left.map(|left| left.saturating_sub(elapsed)),
-        usual_time: call.typical_time(),
+        expected_duration: call.typical_time(),
     }))
 }
 
-fn engine_request<D: Dialect>(
+fn engine_request<D: WireFormat>(
     call: &CallContext<D>,
     machine: &CallMachine,
-    placed: &Placed,
+    placement: &Placement,
 ) -> Request<Full<Bytes>> {
     let now = call.edge.clock.now();
     let attempt = EngineAttempt {
-        engine: &placed.engine,
+        engine: &placement.engine,
         time_left: machine.deadline().since(now).max(Duration::from_millis(1)),
         resume_after: machine.resume_after(),
         tenant: call.caller.tenant.as_ref().map(|tenant| &*tenant.name),
         urgency: urgency_of(call),
     };
-    let headers = call.edge.dialect.engine_headers(call.forwarded.headers.clone(), &attempt);
+    let headers = call.edge.wire_format.engine_headers(call.forwarded.headers.clone(), &attempt);
     let mut request = Request::new(Full::new(call.forwarded.body.clone()));
     *request.method_mut() = call.forwarded.method.clone();
     *request.uri_mut() = call.forwarded.uri.clone();
--- a/crates/edge/src/buffered.rs
+++ b/crates/edge/src/buffered.rs
@@ -3,20 +3,20 @@
 use bytes::Bytes;
 use http::{Response, response};
 use sumacdrift_calls::{CallMachine, Failure, Next};
-use sumacdrift_http_client::gather as gather_body;
-use sumacdrift_routing::{Outcome, Placed};
+use sumacdrift_http_client::read_body;
+use sumacdrift_routing::{Outcome, Placement};
 
 use crate::attempt::{CallContext, EngineResponse, attempt_until_response};
-use crate::dialect::Dialect;
 use crate::headers::without_hop_by_hop;
 use crate::metrics::GaugeGuard;
 use crate::responses::{EdgeBody, full_body};
+use crate::wire_format::WireFormat;
 
 /// Largest response that is buffered.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Runs a call until it has a response to forward or is given up.
-pub(crate) async fn run_buffered<D: Dialect>(
+pub(crate) async fn run_buffered<D: WireFormat>(
     call: &CallContext<D>,
     machine: &mut CallMachine,
 ) -> Result<Response<EdgeBody>, Next> {
@@ -29,31 +29,31 @@
             Ok(received) => received,
             Err(next) => return failed.map(|failed| failed.forward(call, machine)).ok_or(next),
         };
-        let placed = received.run.placed().clone();
+        let placement = received.run.placement().clone();
         let (engine, failure) = match buffer_response(call, machine, received).await {
             Ok((head, bytes)) => {
-                let response = BufferedResponse { head, bytes, placed };
-                let engine = response.placed.engine.clone();
+                let response = BufferedResponse { head, bytes, placement };
+                let engine = response.placement.engine.clone();
                 if !response.head.status.is_server_error() || !machine.may_run_elsewhere(&engine) {
                     return Ok(response.forward(call, machine));
                 }
                 failed = Some(response);
                 (engine, Failure::ServerError)
             }
-            Err(failure) => (placed.engine, failure),
+            Err(failure) => (placement.engine, failure),
         };
-        next = machine.failed(&engine, failure, call.edge.clock.now());
+        next = machine.record_failure(&engine, failure, call.edge.clock.now());
     }
 }
 
 struct BufferedResponse {
     head: response::Parts,
     bytes: Bytes,
-    placed: Placed,
+    placement: Placement,
 }
 
 impl BufferedResponse {
-    fn forward<D: Dialect>(self, call: &CallContext<D>, machine: &CallMachine) -> Response<EdgeBody> {
+    fn forward<D: WireFormat>(self, call: &CallContext<D>, machine: &CallMachine) -> Response<EdgeBody> {
         let status = self.head.status;
         if status.is_success() {
             let elapsed = call.edge.clock.now().since(call.accepted);
@@ -63,7 +63,7 @@
                 slot.mark_served();
             }
         }
-        call.report_served(machine, status.as_u16(), &self.placed);
+        call.report_served(machine, status.as_u16(), &self.placement);
         forwarded_response(&self.head, full_body(self.bytes))
     }
 }
@@ -77,13 +77,13 @@
 }
 
 /// Reads an engine's response to its end, within the call's deadline.
-pub(crate) async fn buffer_response<D: Dialect>(
+pub(crate) async fn buffer_response<D: WireFormat>(
     call: &CallContext<D>,
     machine: &CallMachine,
     received: EngineResponse<D>,
 ) -> Result<(response::Parts, Bytes), Failure> {
     let deadline = call.edge.clock.instant(machine.deadline());
-    let buffering = tokio::time::timeout_at(deadline, gather_body(received.body, MAX_RESPONSE_BYTES)).await;
+    let buffering = tokio::time::timeout_at(deadline, read_body(received.body, MAX_RESPONSE_BYTES)).await;
     match buffering {
         Ok(Ok(bytes)) => {
             if received.head.status.is_success() {
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -9,28 +9,28 @@
 use http::{Request, Response, request};
 use hyper::body::Incoming;
 use slog::info;
-use sumacdrift_calls::{CallHead, CallMachine, Next};
-use sumacdrift_http_client::{HttpError, gather};
-use sumacdrift_routing::{PartNeed, Selected};
+use sumacdrift_calls::{CallMachine, CallMetadata, Next};
+use sumacdrift_http_client::{HttpError, read_body};
+use sumacdrift_routing::{RequiredPart, SelectedRoute};
 use sumacdrift_storage::LedgerError;
 use sumacdrift_types::{AllowedRegions, Ran, ResultCode, Timestamp};
 
 use crate::access::{Caller, Denied};
 use crate::attempt::{CallContext, ForwardedRequest};
 use crate::buffered::run_buffered;
-use crate::dialect::Dialect;
 use crate::edge::Edge;
 use crate::responses::{EdgeBody, problem_response};
 use crate::service_queues::{EnqueueRequest, QueueSlot};
 use crate::state_exchange::prompt_parts;
 use crate::stream::run_stream;
 use crate::turn::{OpenTurn, TurnRequest, result_code};
+use crate::wire_format::WireFormat;
 
 /// Retry delay after a rejection that is not caused by engine capacity.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Serves one request.
-pub(crate) async fn serve_call<D: Dialect>(
+pub(crate) async fn serve_call<D: WireFormat>(
     edge: Arc<Edge<D>>,
     request: Request<Incoming>,
 ) -> Result<Response<EdgeBody>, Infallible> {
@@ -42,10 +42,10 @@
     Ok(response)
 }
 
-async fn handle_call<D: Dialect>(edge: &Arc<Edge<D>>, request: Request<Incoming>) -> Response<EdgeBody> {
+async fn handle_call<D: WireFormat>(edge: &Arc<Edge<D>>, request: Request<Incoming>) -> Response<EdgeBody> {
     let accepted = edge.clock.now();
     let (parts, body) = request.into_parts();
-    let head = match edge.dialect.read_call(&parts) {
+    let head = match edge.wire_format.parse_call(&parts) {
         Ok(head) => head,
         Err(bad) => {
             info!(edge.logger, "malformed call"; "event" => "bad_call", "code" => bad.code.number(),
@@ -63,15 +63,15 @@
         return rejection(edge, ResultCode::NotFound);
     };
     let machine = CallMachine::new(selected.route.rules.clone(), head.time_left, accepted);
-    let gathering = gather(body, limits.body_bytes);
+    let reading = read_body(body, limits.body_bytes);
     let deadline = edge.clock.instant(machine.deadline());
-    let body = match tokio::time::timeout_at(deadline, gathering).await {
+    let body = match tokio::time::timeout_at(deadline, reading).await {
         Ok(Ok(body)) => body,
         Ok(Err(HttpError::TooLarge(_))) => return reject(edge, &head, ResultCode::BodyTooLarge),
         Ok(Err(_)) => return reject(edge, &head, ResultCode::MalformedBody),
         Err(_) => return reject(edge, &head, ResultCode::RequestTooSlow),
     };
-    let key = edge.dialect.read_key(&parts.headers);
+    let key = edge.wire_format.parse_key(&parts.headers);
     let is_public = selected.route.is_public;
     let admitted = edge.admit(&head, key, is_public, &machine).await;
     let counted = match admitted {
@@ -81,7 +81,7 @@
     let caller = match counted {
         Ok(caller) => caller,
         Err(Denied { code, retry_after }) => {
-            return problem_response(edge.dialect.status(code), code, Ran::No, retry_after);
+            return problem_response(edge.wire_format.status(code), code, Ran::No, retry_after);
         }
     };
     let regions = match edge.allowed_regions(&head, &caller, &selected) {
@@ -95,16 +95,16 @@
 /// An admitted call with its complete body.
 struct AdmittedCall {
     parts: request::Parts,
-    head: CallHead,
+    head: CallMetadata,
     caller: Caller,
-    selected: Selected,
+    selected: SelectedRoute,
     machine: CallMachine,
     body: Bytes,
     accepted: Timestamp,
     regions: AllowedRegions,
 }
 
-async fn run_call<D: Dialect>(edge: &Arc<Edge<D>>, mut admitted_call: AdmittedCall) -> Response<EdgeBody> {
+async fn run_call<D: WireFormat>(edge: &Arc<Edge<D>>, mut admitted_call: AdmittedCall) -> Response<EdgeBody> {
     if !admitted_call.selected.route.rules.kind.is_stream() {
         // Tool calls belong to programs that have already started.
         let has_started = admitted_call.head.program.is_some();
@@ -139,14 +139,14 @@
 }
 
 impl AdmittedCall {
-    fn into_context<D: Dialect>(
+    fn into_context<D: WireFormat>(
         self,
         edge: &Arc<Edge<D>>,
-        prompt: Vec<PartNeed>,
+        prompt: Vec<RequiredPart>,
         slot: Option<QueueSlot<D>>,
     ) -> (CallContext<D>, CallMachine) {
         let Self { parts, head, caller, selected, machine, body, accepted, regions } = self;
-        let forwarded = ForwardedRequest::new(&edge.dialect, &caller, &parts, body);
+        let forwarded = ForwardedRequest::new(&edge.wire_format, &caller, &parts, body);
         let edge = Arc::clone(edge);
         let call =
             CallContext { edge, head, caller, selected, forwarded, parts: prompt, accepted, regions, slot };
@@ -154,7 +154,7 @@
     }
 }
 
-async fn wait_for_slot<D: Dialect>(
+async fn wait_for_slot<D: WireFormat>(
     edge: &Arc<Edge<D>>,
     admitted_call: &AdmittedCall,
     has_started: bool,
@@ -165,7 +165,7 @@
 }
 
 /// Rejects a call that got no slot.
-fn reject_without_slot<D: Dialect>(
+fn reject_without_slot<D: WireFormat>(
     edge: &Arc<Edge<D>>,
     admitted_call: AdmittedCall,
     next: Next,
@@ -175,7 +175,7 @@
 }
 
 /// Rejects a turn that the ledger did not begin.
-fn reject_turn<D: Dialect>(edge: &Edge<D>, head: &CallHead, error: LedgerError) -> Response<EdgeBody> {
+fn reject_turn<D: WireFormat>(edge: &Edge<D>, head: &CallMetadata, error: LedgerError) -> Response<EdgeBody> {
     let program = head.program.as_ref();
     info!(edge.logger, "turn rejected by the ledger"; "event" => "turn_refused", "call" => &head.id, "reason" => %error,
         "program" => program.map(|program| &program.program),
@@ -199,10 +199,10 @@
 }
 
 /// Begins the call's turn in the ledger, if it has a program with a budget or a retained route.
-async fn begin_turn<D: Dialect>(
+async fn begin_turn<D: WireFormat>(
     edge: &Arc<Edge<D>>,
     admitted_call: &AdmittedCall,
-    prompt: &[PartNeed],
+    prompt: &[RequiredPart],
     now: Timestamp,
 ) -> Result<BegunTurn, LedgerError> {
     let AdmittedCall { head, caller, selected, body, .. } = admitted_call;
@@ -222,7 +222,7 @@
     Ok(BegunTurn { turn: Some(turn), body, has_started })
 }
 
-fn give_up<D: Dialect>(call: &CallContext<D>, machine: &CallMachine, next: &Next) -> Response<EdgeBody> {
+fn give_up<D: WireFormat>(call: &CallContext<D>, machine: &CallMachine, next: &Next) -> Response<EdgeBody> {
     let (what, code, ran, retry_after) = match next {
         Next::Refuse { code, retry_after } => {
             ("refused", *code, Ran::No, Some(queue_retry_delay(call, *code).unwrap_or(*retry_after)))
@@ -232,36 +232,38 @@
     };
     call.report_given_up(machine, what, code);
     let status = match ran {
-        Ran::No if code != ResultCode::Unauthenticated => call.edge.dialect.status(ResultCode::Overloaded),
-        _ => call.edge.dialect.status(code),
+        Ran::No if code != ResultCode::Unauthenticated => {
+            call.edge.wire_format.status(ResultCode::Overloaded)
+        }
+        _ => call.edge.wire_format.status(code),
     };
     problem_response(status, code, ran, retry_after)
 }
 
 /// Retry delay for a call that all engines rejected as overloaded, if calls are queued.
-fn queue_retry_delay<D: Dialect>(call: &CallContext<D>, code: ResultCode) -> Option<Duration> {
+fn queue_retry_delay<D: WireFormat>(call: &CallContext<D>, code: ResultCode) -> Option<Duration> {
     let slot = call.slot.as_ref().filter(|_| code == ResultCode::Overloaded)?;
     slot.retry_delay()
 }
 
-fn reject<D: Dialect>(edge: &Edge<D>, head: &CallHead, code: ResultCode) -> Response<EdgeBody> {
+fn reject<D: WireFormat>(edge: &Edge<D>, head: &CallMetadata, code: ResultCode) -> Response<EdgeBody> {
     edge.metrics.record_given_up(code);
     info!(edge.logger, "call rejected"; "event" => "refused", "call" => &head.id, "code" => code.number(),
         "title" => code.title());
     rejection(edge, code)
 }
 
-fn rejection<D: Dialect>(edge: &Edge<D>, code: ResultCode) -> Response<EdgeBody> {
+fn rejection<D: WireFormat>(edge: &Edge<D>, code: ResultCode) -> Response<EdgeBody> {
     rejection_with_retry_after(edge, code, DEFAULT_RETRY_AFTER)
 }
 
 /// A rejection of a call that has not run; a 503 tells when to retry.
-fn rejection_with_retry_after<D: Dialect>(
+fn rejection_with_retry_after<D: WireFormat>(
     edge: &Edge<D>,
     code: ResultCode,
     retry_after: Duration,
 ) -> Response<EdgeBody> {
-    let status = edge.dialect.status(code);
+    let status = edge.wire_format.status(code);
     let retry_after = (status.as_u16() == 503).then_some(retry_after);
     problem_response(status, code, Ran::No, retry_after)
 }
--- a/crates/edge/src/cold_permit.rs
+++ b/crates/edge/src/cold_permit.rs
@@ -7,13 +7,13 @@
 
 use slog::info;
 use sumacdrift_access::{QuotaCall, QuotaLimit};
-use sumacdrift_calls::{CallHead, CallMachine, EngineId};
-use sumacdrift_routing::{ColdLimit, PERMIT_LASTS, Permit};
+use sumacdrift_calls::{CallMachine, CallMetadata, EngineId};
+use sumacdrift_routing::{ColdLimit, PERMIT_VALIDITY, Permit};
 use sumacdrift_storage::QuotaOutcome;
 use sumacdrift_types::Timestamp;
 
-use crate::dialect::Dialect;
 use crate::edge::Edge;
+use crate::wire_format::WireFormat;
 
 /// The limit holds over any window of this length.
 const PERMIT_WINDOW: Duration = Duration::from_secs(1);
@@ -48,16 +48,16 @@
     /// The limit for all nodes together, chosen so that no window exceeds the tolerated rate.
     pub fn limit(self, cold: ColdLimit) -> QuotaLimit {
         let bound = cold.calls_per_second * self.times + self.calls;
-        QuotaLimit::within_bound(cold.calls_per_second, bound, PERMIT_WINDOW, PERMIT_LASTS)
+        QuotaLimit::within_bound(cold.calls_per_second, bound, PERMIT_WINDOW, PERMIT_VALIDITY)
     }
 }
 
-impl<D: Dialect> Edge<D> {
+impl<D: WireFormat> Edge<D> {
     /// Requests a permit for one call to a cold engine. If it is denied, the engine is not selected again until a
     /// back-off has passed.
     pub(crate) async fn acquire_permit(
         &self,
-        head: &CallHead,
+        head: &CallMetadata,
         engine: &EngineId,
         cold: ColdLimit,
         machine: &CallMachine,
@@ -67,7 +67,7 @@
         let version = self.routes().table().map_or(0, |table| table.version);
         let counted_name = format!("{COLD_ENGINE_PREFIX}{engine}");
         let call = QuotaCall { tenant: &counted_name, program: None, limit, version };
-        let until = (asked + PERMIT_LASTS).min(machine.deadline());
+        let until = (asked + PERMIT_VALIDITY).min(machine.deadline());
         let outcome = self.quotas.ask(call, self.clock.instant(until)).await;
         let backoff = match outcome {
             QuotaOutcome::Granted => {
@@ -79,9 +79,9 @@
         };
         self.metrics.permits_refused.inc();
         let now = self.clock.now();
-        self.engines().cold_refused(engine, now + backoff);
+        self.engines().record_permit_denial(engine, now + backoff);
         info!(self.logger, "no permit for a call to a cold engine"; "event" => "permit_refused", "call" => &head.id,
-            "engine" => %engine, "outcome" => ?outcome, "most" => limit.most(), "version" => version,
+            "engine" => %engine, "outcome" => ?outcome, "most" => limit.max_calls(), "version" => version,
             "waited_ms" => now.since(asked).as_millis() as u64, "pause_ms" => backoff.as_millis() as u64);
         None
     }
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -13,8 +13,8 @@
 use tokio_util::task::TaskTracker;
 
 use crate::call::serve_call;
-use crate::dialect::Dialect;
 use crate::edge::Edge;
+use crate::wire_format::WireFormat;
 
 /// Limits until a configuration is in force.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -23,7 +23,7 @@
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Serves a caller's connection. Cancelling `close` closes it after the request in flight.
-pub(crate) fn serve_connection<D: Dialect>(
+pub(crate) fn serve_connection<D: WireFormat>(
     edge: &Arc<Edge<D>>,
     stream: TcpStream,
     close: CancellationToken,
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -6,35 +6,35 @@
 use std::time::Duration;
 
 use slog::{Logger, info};
-use sumacdrift_access::{Knowledge, KnowledgeLimits};
+use sumacdrift_access::{ConfigurationAge, ConfigurationAgeLimits};
 use sumacdrift_calls::EngineId;
 use sumacdrift_routing::{
-    CallerLimits, EngineBook, EngineSpec, EntryChange, Evacuation, EvacuationChange, Outcome, RouteTable,
+    CallerLimits, EngineRegistry, EngineSpec, EntryChange, Evacuation, EvacuationChange, Outcome, RouteTable,
     Routes, TrafficPrices,
 };
-use sumacdrift_scheduling::HealthSettings;
+use sumacdrift_scheduling::CircuitBreakerSettings;
 use sumacdrift_storage::{LedgerClient, QuotaClient};
-use sumacdrift_types::{AllowedRegions, Location, Mechanism, SwitchedOff, Timestamp};
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, Mechanism, Timestamp};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
 use crate::clock::Clock;
 use crate::cold_permit::ColdTolerance;
-use crate::dialect::Dialect;
 use crate::engine_pool::EnginePool;
 use crate::metrics::EdgeMetrics;
 use crate::route_durations::RouteDurations;
 use crate::service_queues::ServiceQueues;
 use crate::state_exchange::{ExchangeSchedule, subscribe_to_views};
+use crate::wire_format::WireFormat;
 
 /// How long an engine is remembered after it left the directory.
 const ENGINE_RETENTION: Duration = Duration::from_secs(30);
 /// Consecutive failures that open an engine's circuit breaker.
-const FAILURES_TO_OPEN: u32 = 2;
+const FAILURE_THRESHOLD: u32 = 2;
 /// How long the circuit breaker stays open at first.
-const FIRST_OPEN_TIME: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest time for which the circuit breaker stays open.
-const MAX_OPEN_TIME: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 /// Time over which a recovered engine's share of the load rises to normal.
 const SLOW_START: Duration = Duration::from_secs(1);
 
@@ -53,18 +53,18 @@
     /// Address at which the node relays ledger requests for others; `None` if it does not.
     pub relay: Option<SocketAddr>,
     /// Maximum age of the configuration for decisions about API keys.
-    pub knowledge: KnowledgeLimits,
+    pub configuration_age_limits: ConfigurationAgeLimits,
     /// Tolerated excess over the configured call rate of cold engines.
     pub cold: ColdTolerance,
     /// Mechanisms that are switched off.
-    pub off: SwitchedOff,
+    pub disabled: DisabledMechanisms,
 }
 
 /// Components of an edge.
 #[allow(missing_docs)]
 pub struct EdgeParts<D> {
     pub settings: EdgeSettings,
-    pub dialect: D,
+    pub wire_format: D,
     pub ledger: Arc<LedgerClient>,
     pub logger: Logger,
 }
@@ -72,7 +72,7 @@
 /// The state that all calls of an edge share.
 pub struct Edge<D> {
     pub(crate) settings: EdgeSettings,
-    pub(crate) dialect: D,
+    pub(crate) wire_format: D,
     pub(crate) ledger: Arc<LedgerClient>,
     /// Ledger client for region-bound turns. It uses no relays, as those may be in other regions.
     region_bound_ledger: Arc<LedgerClient>,
@@ -81,9 +81,9 @@
     pub(crate) pool: Arc<EnginePool>,
     pub(crate) metrics: EdgeMetrics,
     routes: Mutex<Routes>,
-    engines: Mutex<EngineBook>,
+    engines: Mutex<EngineRegistry>,
     route_durations: Mutex<RouteDurations>,
-    freshness: Mutex<Knowledge>,
+    freshness: Mutex<ConfigurationAge>,
     pub(crate) quotas: QuotaClient,
     pub(crate) exchange_schedule: ExchangeSchedule,
     pub(crate) queues: ServiceQueues,
@@ -92,31 +92,31 @@
     is_stopping: AtomicBool,
 }
 
-impl<D: Dialect> Edge<D> {
+impl<D: WireFormat> Edge<D> {
     /// Creates an edge without configuration and engines.
     pub fn new(parts: EdgeParts<D>) -> Arc<Self> {
-        let health = HealthSettings {
-            failures_to_open: FAILURES_TO_OPEN,
-            first_pause: FIRST_OPEN_TIME,
-            max_pause: MAX_OPEN_TIME,
+        let circuit_breaker = CircuitBreakerSettings {
+            failure_threshold: FAILURE_THRESHOLD,
+            initial_backoff: INITIAL_BACKOFF,
+            max_backoff: MAX_BACKOFF,
             slow_start: SLOW_START,
         };
-        let off = parts.settings.off;
+        let disabled = parts.settings.disabled;
         let (location, prices) = (parts.settings.location.clone(), parts.settings.prices);
         let region_bound_ledger = Arc::new(parts.ledger.without_relays());
         let edge = Arc::new(Self {
             settings: parts.settings,
             quotas: QuotaClient::new(Arc::clone(&parts.ledger)),
             freshness: Mutex::default(),
-            dialect: parts.dialect,
+            wire_format: parts.wire_format,
             ledger: parts.ledger,
             region_bound_ledger,
             logger: parts.logger,
             clock: Clock::default(),
-            pool: Arc::new(EnginePool::new(off)),
+            pool: Arc::new(EnginePool::new(disabled)),
             metrics: EdgeMetrics::default(),
             routes: Mutex::default(),
-            engines: Mutex::new(EngineBook::new(location, prices, off, health)),
+            engines: Mutex::new(EngineRegistry::new(location, prices, disabled, circuit_breaker)),
             route_durations: Mutex::default(),
             exchange_schedule: ExchangeSchedule::default(),
             queues: ServiceQueues::default(),
@@ -175,7 +175,7 @@
 
     /// Whether the configuration is too old to accept known keys.
     fn is_configuration_stale(&self) -> bool {
-        self.settings.knowledge.known_key.is_some_and(|limit| self.needs_confirmation(limit))
+        self.settings.configuration_age_limits.known_key.is_some_and(|limit| self.needs_confirmation(limit))
     }
 
     /// Replaces the list of engines, after the directory was unreachable for `outage`.
@@ -185,24 +185,24 @@
             "source" => source, "outage_ms" => outage.as_millis() as u64);
         let mut engines = self.engines();
         engines.replace_all(specs, outage, now);
-        engines.forget_gone(now, ENGINE_RETENTION);
-        engines.settle(|engine| self.pool.is_connected(engine), now);
+        engines.evict_gone(now, ENGINE_RETENTION);
+        engines.regroup_interchangeable(|engine| self.pool.is_connected(engine), now);
     }
 
     /// Adds or updates an engine.
     pub fn upsert_engine(&self, spec: EngineSpec) {
         let (id, is_leaving, report) = (spec.id.clone(), spec.is_leaving, spec.report);
         match self.engines().upsert(spec, self.clock.now()) {
-            EntryChange::Nothing => {}
+            EntryChange::Unchanged => {}
             EntryChange::Changed => {
                 info!(self.logger, "engine changed"; "event" => "engine_changed", "engine" => %id,
                     "leaving" => is_leaving);
             }
-            EntryChange::StartedAgain => {
+            EntryChange::Restarted => {
                 info!(self.logger, "engine restarted"; "event" => "engine_started_again", "engine" => %id,
                     "start_unix_ms" => id.start().unix_millis, "report" => report, "leaving" => is_leaving);
             }
-            EntryChange::EarlierLifeLeaves => {
+            EntryChange::EarlierIncarnationLeaving => {
                 info!(self.logger, "engine's earlier incarnation is leaving";
                     "event" => "earlier_life_leaves", "engine" => %id,
                     "start_unix_ms" => id.start().unix_millis, "report" => report);
@@ -226,7 +226,7 @@
 
     /// Stops new calls to the engines of a zone.
     pub fn evacuate(&self, evacuation: Evacuation, source: &'static str) {
-        let change = self.engines().evacuate(evacuation, self.clock.now());
+        let change = self.engines().begin_evacuation(evacuation, self.clock.now());
         self.report_evacuations(change, source);
     }
 
@@ -261,10 +261,10 @@
         let mut engines = self.engines();
         let cold = engines.cold_engines(now);
         self.metrics.cold_engines.set(i64::try_from(cold).unwrap_or(i64::MAX));
-        let outliers = engines.engines_put_aside(now);
+        let outliers = engines.ejected_engines(now);
         self.metrics.outliers.set(i64::try_from(outliers).unwrap_or(i64::MAX));
         self.pool.sweep(|engine| engines.spec(engine).is_some());
-        engines.settle(|engine| self.pool.is_connected(engine), now);
+        engines.regroup_interchangeable(|engine| self.pool.is_connected(engine), now);
         drop(engines);
         self.update_outliers(now);
     }
@@ -283,7 +283,7 @@
     /// nodes it arrives soon, and a rejected caller has few retries.
     pub(crate) async fn await_limits(&self) -> Option<CallerLimits> {
         let time_left = STARTUP_WAIT.saturating_sub(self.clock.now().since(Timestamp::default()));
-        let may_wait = self.settings.off.allows(Mechanism::StartWait) && !time_left.is_zero();
+        let may_wait = self.settings.disabled.is_enabled(Mechanism::StartWait) && !time_left.is_zero();
         if may_wait && !*self.configured.borrow() {
             let mut configured = self.configured.subscribe();
             // A timeout is ignored: the result shows whether a configuration is in force.
@@ -312,7 +312,7 @@
 
     /// The ledger client for a call with these allowed regions.
     pub(crate) fn ledger_for(&self, regions: &AllowedRegions) -> &Arc<LedgerClient> {
-        if regions.are_all() {
+        if regions.is_unrestricted() {
             return &self.ledger;
         }
         self.region_bound_ledger.learn_map(&self.ledger.map());
@@ -323,7 +323,7 @@
         self.routes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn freshness(&self) -> MutexGuard<'_, Knowledge> {
+    fn freshness(&self) -> MutexGuard<'_, ConfigurationAge> {
         self.freshness.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -331,14 +331,14 @@
         self.route_durations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn engines(&self) -> MutexGuard<'_, EngineBook> {
+    pub(crate) fn engines(&self) -> MutexGuard<'_, EngineRegistry> {
         self.engines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the outcome of a call at an engine.
     pub(crate) fn record_outcome(&self, engine: &EngineId, outcome: Outcome) {
         let now = self.clock.now();
-        let has_opened = self.engines().ended(engine, outcome, now);
+        let has_opened = self.engines().record_outcome(engine, outcome, now);
         if has_opened {
             info!(self.logger, "circuit breaker of an engine opened"; "event" => "engine_avoided", "engine" => %engine,
                 "outcome" => ?outcome);
--- a/crates/edge/src/engine_pool.rs
+++ b/crates/edge/src/engine_pool.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt::TokioIo;
 use sumacdrift_calls::EngineId;
 use sumacdrift_transport::configure_stream;
-use sumacdrift_types::{Mechanism, SwitchedOff};
+use sumacdrift_types::{DisabledMechanisms, Mechanism};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
@@ -60,7 +60,7 @@
 }
 
 pub(crate) struct EnginePool {
-    off: SwitchedOff,
+    disabled: DisabledMechanisms,
     idle: Mutex<HashMap<EngineId, Vec<IdleConnection>>>,
     idle_limit: Mutex<IdleLimit>,
     clock: Clock,
@@ -94,8 +94,8 @@
 }
 
 impl EnginePool {
-    pub(crate) fn new(off: SwitchedOff) -> Self {
-        Self { off, idle: Mutex::default(), idle_limit: Mutex::default(), clock: Clock::default() }
+    pub(crate) fn new(disabled: DisabledMechanisms) -> Self {
+        Self { disabled, idle: Mutex::default(), idle_limit: Mutex::default(), clock: Clock::default() }
     }
 
     /// Sends a request and waits for the response head. `may_send` is checked immediately before sending, since
@@ -153,7 +153,7 @@
 
     /// Records a reset for the idle limit.
     fn record_lost(&self, idle_for: Option<Duration>, sent: Instant) -> SendError {
-        if !self.off.allows(Mechanism::RestLimit) {
+        if !self.disabled.is_enabled(Mechanism::IdleLimit) {
             return SendError::Lost;
         }
         let reset = Reset { idle_for, delay: sent.elapsed() };
--- a/crates/edge/src/engine_run.rs
+++ b/crates/edge/src/engine_run.rs
@@ -5,12 +5,12 @@
 
 use http::StatusCode;
 use sumacdrift_calls::EngineId;
-use sumacdrift_routing::{Outcome, Placed, StreamSeen};
+use sumacdrift_routing::{Outcome, Placement, StreamObservation};
 use sumacdrift_types::Timestamp;
 
-use crate::dialect::Dialect;
 use crate::edge::Edge;
 use crate::engine_pool::ActiveConnection;
+use crate::wire_format::WireFormat;
 
 #[derive(Debug, Clone, Copy)]
 struct EventTimes {
@@ -20,10 +20,10 @@
 }
 
 /// A call in flight at an engine, counted in the engine's load until this is finished or dropped.
-pub(crate) struct EngineRun<D: Dialect> {
+pub(crate) struct EngineRun<D: WireFormat> {
     edge: Arc<Edge<D>>,
     pub(crate) engine: EngineId,
-    placed: Placed,
+    placement: Placement,
     sent: Timestamp,
     /// Prompt tokens that still count as unread in the engine's load.
     unread_tokens: u64,
@@ -34,17 +34,17 @@
     outcome: Outcome,
 }
 
-impl<D: Dialect> EngineRun<D> {
+impl<D: WireFormat> EngineRun<D> {
     /// Counts the call at the engine, just before it is sent.
-    pub(crate) fn begin(edge: &Arc<Edge<D>>, placed: &Placed) -> Self {
+    pub(crate) fn begin(edge: &Arc<Edge<D>>, placement: &Placement) -> Self {
         let sent = edge.clock.now();
-        edge.engines().sent(&placed.engine, placed.unread_tokens, sent);
+        edge.engines().record_sent(&placement.engine, placement.unread_tokens, sent);
         Self {
             edge: Arc::clone(edge),
-            engine: placed.engine.clone(),
-            placed: placed.clone(),
+            engine: placement.engine.clone(),
+            placement: placement.clone(),
             sent,
-            unread_tokens: placed.unread_tokens,
+            unread_tokens: placement.unread_tokens,
             event_times: None,
             connection: None,
             network_time: Duration::ZERO,
@@ -57,14 +57,14 @@
         self.connection = Some(connection);
         let mut engines = self.edge.engines();
         if let Some(connect_time) = connect_time {
-            engines.connected(&self.engine, connect_time);
+            engines.record_connect_time(&self.engine, connect_time);
         }
         self.network_time = engines.round_trip(&self.engine) + connect_time.unwrap_or_default();
     }
 
     /// The placement decision that selected the engine.
-    pub(crate) fn placed(&self) -> &Placed {
-        &self.placed
+    pub(crate) fn placement(&self) -> &Placement {
+        &self.placement
     }
 
     /// Records events of a stream. With the first ones the prompt counts as read.
@@ -81,12 +81,12 @@
     /// Ends the run after a complete stream, and records the engine's speed.
     pub(crate) fn finish_stream(self) {
         if let Some(event_times) = self.event_times {
-            let observed = StreamSeen {
+            let observed = StreamObservation {
                 first_millis: millis(event_times.first.since(self.sent).saturating_sub(self.network_time)),
                 rest_millis: millis(event_times.last.since(event_times.first)),
                 events: event_times.events,
-                tokens_ahead: self.placed.tokens_ahead,
-                running: self.placed.running,
+                tokens_ahead: self.placement.tokens_ahead,
+                running: self.placement.running,
             };
             self.edge.engines().observe_stream(&self.engine, &observed, self.edge.clock.now());
         }
@@ -128,11 +128,11 @@
 
     fn clear_unread(&mut self) {
         let unread_tokens = std::mem::take(&mut self.unread_tokens);
-        self.edge.engines().was_read(&self.engine, unread_tokens);
+        self.edge.engines().record_prefilled(&self.engine, unread_tokens);
     }
 }
 
-impl<D: Dialect> Drop for EngineRun<D> {
+impl<D: WireFormat> Drop for EngineRun<D> {
     fn drop(&mut self) {
         self.clear_unread();
         self.edge.record_outcome(&self.engine, self.outcome);
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,8 @@
 //! The edge proxy: accepts calls, admits them, selects engines, forwards requests and relays responses.
 //!
-//! The wire format is behind the [`Dialect`] port. Retry decisions come from [`sumacdrift_calls::CallMachine`],
-//! engine selection from [`sumacdrift_routing::EngineBook`], and whether a turn may run from the ledger. This crate
-//! carries those decisions out.
+//! The wire format is behind the [`WireFormat`] port. Retry decisions come from [`sumacdrift_calls::CallMachine`],
+//! engine selection from [`sumacdrift_routing::EngineRegistry`], and whether a turn may run from the ledger. This
+//! crate carries those decisions out.
 
 mod access;
 mod attempt;
@@ -11,7 +11,6 @@
 mod clock;
 mod cold_permit;
 mod connections;
-mod dialect;
 mod edge;
 mod engine_pool;
 mod engine_run;
@@ -28,13 +27,14 @@
 mod state_exchange;
 mod stream;
 mod turn;
+mod wire_format;
 
 pub use clock::Clock;
 pub use cold_permit::ColdTolerance;
-pub use dialect::{AnswerKind, BadCall, Dialect, EngineAttempt, KeyUse};
 pub use edge::{Edge, EdgeParts, EdgeSettings};
 pub use headers::without_hop_by_hop;
 pub use idle_limit::{IdleLimit, Reset};
-pub use listener::{Listeners, StopTimes, serve_listeners};
+pub use listener::{Listeners, ShutdownTimeouts, serve_listeners};
 pub use metrics::EdgeMetrics;
 pub use responses::{EdgeBody, RelayError, problem_response};
+pub use wire_format::{CallError, EngineAttempt, KeyHandling, ResponseKind, WireFormat};
--- a/crates/edge/src/listener.rs
+++ b/crates/edge/src/listener.rs
@@ -17,8 +17,8 @@
 use tokio_util::task::TaskTracker;
 
 use crate::connections::serve_connection;
-use crate::dialect::Dialect;
 use crate::edge::Edge;
+use crate::wire_format::WireFormat;
 
 /// Delay after a failed accept, typically caused by running out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -37,7 +37,7 @@
 
 /// Phases of a graceful shutdown.
 #[derive(Debug, Clone, Copy)]
-pub struct StopTimes {
+pub struct ShutdownTimeouts {
     /// How long callers are still accepted after the edge reports that it is not ready.
     pub accept_for: Duration,
     /// How long calls in flight may then take to finish.
@@ -45,10 +45,10 @@
 }
 
 /// Serves until `stop` is cancelled, then drains. Returns whether all connections finished in time.
-pub async fn serve_listeners<D: Dialect>(
+pub async fn serve_listeners<D: WireFormat>(
     edge: Arc<Edge<D>>,
     listeners: Listeners,
-    times: StopTimes,
+    times: ShutdownTimeouts,
     stop: CancellationToken,
 ) -> bool {
     let close = CancellationToken::new();
@@ -68,13 +68,13 @@
     has_finished
 }
 
-async fn stop_accepting<D: Dialect>(edge: &Edge<D>, times: StopTimes, stop: &CancellationToken) {
+async fn stop_accepting<D: WireFormat>(edge: &Edge<D>, times: ShutdownTimeouts, stop: &CancellationToken) {
     stop.cancelled().await;
     edge.begin_stop();
     tokio::time::sleep(times.accept_for).await;
 }
 
-async fn accept_callers<D: Dialect>(
+async fn accept_callers<D: WireFormat>(
     edge: &Arc<Edge<D>>,
     listener: &TcpListener,
     close: &CancellationToken,
@@ -91,7 +91,7 @@
     }
 }
 
-async fn serve_readiness<D: Dialect>(edge: Arc<Edge<D>>, listener: TcpListener, path: &'static str) {
+async fn serve_readiness<D: WireFormat>(edge: Arc<Edge<D>>, listener: TcpListener, path: &'static str) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => serve_readiness_connection(Arc::clone(&edge), stream, path),
@@ -100,7 +100,7 @@
     }
 }
 
-fn serve_readiness_connection<D: Dialect>(edge: Arc<Edge<D>>, stream: TcpStream, path: &'static str) {
+fn serve_readiness_connection<D: WireFormat>(edge: Arc<Edge<D>>, stream: TcpStream, path: &'static str) {
     let service = service_fn(move |request: Request<Incoming>| {
         let status = match (request.uri().path() == path, edge.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
-use sumacdrift_scheduling::RefusalReason;
+use sumacdrift_scheduling::RejectionReason;
 use sumacdrift_telemetry::time_histogram;
 use sumacdrift_types::ResultCode;
 
@@ -156,7 +156,7 @@
         self.queued.get()
     }
 
-    pub(crate) fn record_rejection(&self, reason: RefusalReason) {
+    pub(crate) fn record_rejection(&self, reason: RejectionReason) {
         self.queue_rejections.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
--- a/crates/edge/src/regions.rs
+++ b/crates/edge/src/regions.rs
@@ -1,22 +1,22 @@
 //! Region constraints: where a call may be served and its turn retained.
 
 use slog::warn;
-use sumacdrift_calls::CallHead;
+use sumacdrift_calls::CallMetadata;
 use sumacdrift_ledger::Group;
-use sumacdrift_routing::Selected;
+use sumacdrift_routing::SelectedRoute;
 use sumacdrift_types::{AllowedRegions, ResultCode};
 
 use crate::access::Caller;
-use crate::dialect::Dialect;
 use crate::edge::Edge;
+use crate::wire_format::WireFormat;
 
-impl<D: Dialect> Edge<D> {
+impl<D: WireFormat> Edge<D> {
     /// The regions that both the route and the tenant allow. On an error the call has not run.
     pub(crate) fn allowed_regions(
         &self,
-        head: &CallHead,
+        head: &CallMetadata,
         caller: &Caller,
-        selected: &Selected,
+        selected: &SelectedRoute,
     ) -> Result<AllowedRegions, ResultCode> {
         let route = &selected.route;
         let regions = match &caller.tenant {
@@ -43,13 +43,13 @@
     /// program's ledger group is elsewhere.
     fn can_retain(
         &self,
-        head: &CallHead,
+        head: &CallMetadata,
         caller: &Caller,
-        selected: &Selected,
+        selected: &SelectedRoute,
         regions: &AllowedRegions,
     ) -> bool {
         let Some(program) = head.program.as_ref().filter(|_| selected.route.is_retained) else { return true };
-        if regions.are_all() {
+        if regions.is_unrestricted() {
             return true;
         }
         let name = caller.name_in_ledger(&program.program);
@@ -59,9 +59,9 @@
 
     fn is_within(&self, group: &Group, regions: &AllowedRegions) -> bool {
         let location = &self.settings.location;
-        let own = location.places.region_of(&location.zone);
+        let own = location.topology.region_of(&location.zone);
         group.members.iter().all(|member| {
-            let region = location.places.region_of(&member.zone);
+            let region = location.topology.region_of(&member.zone);
             regions.allow(region) || (region.is_some() && region == own)
         })
     }
--- a/crates/edge/src/report.rs
+++ b/crates/edge/src/report.rs
@@ -2,32 +2,32 @@
 
 use slog::info;
 use sumacdrift_calls::{CallMachine, Failure, Next};
-use sumacdrift_routing::Placed;
+use sumacdrift_routing::Placement;
 use sumacdrift_types::ResultCode;
 
 use crate::attempt::CallContext;
-use crate::dialect::Dialect;
+use crate::wire_format::WireFormat;
 
-impl<D: Dialect> CallContext<D> {
-    pub(crate) fn report_failure(&self, placed: &Placed, failure: Failure, next: &Next) {
+impl<D: WireFormat> CallContext<D> {
+    pub(crate) fn report_failure(&self, placement: &Placement, failure: Failure, next: &Next) {
         self.edge.metrics.failed_attempts.inc();
         info!(self.edge.logger, "attempt failed"; "event" => "attempt_failed", "call" => &self.head.id,
-            "engine" => %placed.engine, "failure" => ?failure, "next" => ?next,
-            "candidates" => placed.candidates, "running" => placed.running as u64,
+            "engine" => %placement.engine, "failure" => ?failure, "next" => ?next,
+            "candidates" => placement.candidates, "running" => placement.running as u64,
             "age_ms" => self.age_millis());
     }
 
     /// Logs a call whose response an engine completed.
-    pub(crate) fn report_served(&self, machine: &CallMachine, status: u16, placed: &Placed) {
+    pub(crate) fn report_served(&self, machine: &CallMachine, status: u16, placement: &Placement) {
         self.edge.metrics.served.inc();
         let program = self.head.program.as_ref().map_or("", |program| &program.program);
-        info!(self.edge.logger, "call served"; "event" => "served", "call" => &self.head.id, "engine" => %placed.engine,
+        info!(self.edge.logger, "call served"; "event" => "served", "call" => &self.head.id, "engine" => %placement.engine,
             "status" => status, "events" => machine.events(), "misses" => machine.misses(),
             "age_ms" => self.age_millis(), "version" => self.selected.version, "program" => program,
-            "route" => &*self.selected.route.name, "expected_ms" => placed.estimate.own_millis as u64,
-            "zone_ms" => placed.estimate.zone_millis as u64, "unread_tokens" => placed.unread_tokens, "tokens_ahead" => placed.tokens_ahead as u64,
-            "running" => placed.running as u64, "next_best_ms" => placed.next_best.map(|cost| cost as u64),
-            "others_age_ms" => placed.others_age.map(|age| age.as_millis() as u64));
+            "route" => &*self.selected.route.name, "expected_ms" => placement.estimate.own_millis as u64,
+            "zone_ms" => placement.estimate.zone_millis as u64, "unread_tokens" => placement.unread_tokens, "tokens_ahead" => placement.tokens_ahead as u64,
+            "running" => placement.running as u64, "next_best_ms" => placement.next_best.map(|cost| cost as u64),
+            "others_age_ms" => placement.peer_report_age.map(|age| age.as_millis() as u64));
     }
 
     /// Logs a call that was rejected, failed or aborted, as `outcome` says.
--- a/crates/edge/src/service_queues.rs
+++ b/crates/edge/src/service_queues.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 
 use slog::info;
-use sumacdrift_calls::{CallHead, CallMachine, Next};
+use sumacdrift_calls::{CallMachine, CallMetadata, Next};
 use sumacdrift_fleet_view::{ServiceDemand, service_key};
-use sumacdrift_routing::{EngineRoom, Selected};
+use sumacdrift_routing::{EngineCapacity, SelectedRoute};
 use sumacdrift_scheduling::{
-    PriorityRank, ProgramStage, QueueTicket, QueuedCall, RankDemand, RefusalReason, ReturningPrograms,
-    ServiceQueue, ServiceQueueAction, ServiceQueueSettings, ServiceRoom,
+    ExpectedRetries, PriorityRank, ProgramStage, QueueTicket, QueuedCall, RankDemand, RejectionReason,
+    ServiceCapacity, ServiceQueue, ServiceQueueAction, ServiceQueueSettings,
 };
 use sumacdrift_types::{Mechanism, Timestamp, stable_hash};
 use tokio::sync::oneshot;
 
 use crate::access::Caller;
-use crate::dialect::Dialect;
 use crate::edge::Edge;
 use crate::metrics::GaugeGuard;
+use crate::wire_format::WireFormat;
 
 /// Calls that streaming engines hold in addition to their slots, as a share of them, so that none is idle until the
 /// next call arrives.
@@ -49,7 +49,7 @@
     services: HashMap<Arc<str>, QueuedService>,
     /// Latest demand reported by other nodes, by service key.
     peer_demand: HashMap<u32, Vec<RankDemand>>,
-    returning: ReturningPrograms,
+    expected_retries: ExpectedRetries,
     last_ticket: u64,
 }
 
@@ -80,7 +80,7 @@
     fn deliver(&mut self, actions: Vec<ServiceQueueAction>) {
         for action in actions {
             let ticket = match action {
-                ServiceQueueAction::LetIn { ticket, .. } | ServiceQueueAction::Refuse { ticket, .. } => {
+                ServiceQueueAction::Admit { ticket, .. } | ServiceQueueAction::Reject { ticket, .. } => {
                     ticket
                 }
             };
@@ -92,20 +92,25 @@
         }
     }
 
-    fn update_capacity(&mut self, capacity: EngineRoom, mut peer_demand: Vec<RankDemand>, now: Timestamp) {
+    fn update_capacity(
+        &mut self,
+        capacity: EngineCapacity,
+        mut peer_demand: Vec<RankDemand>,
+        now: Timestamp,
+    ) {
         self.refreshed_at = Some(now);
         for demand in &mut peer_demand {
-            demand.running *= capacity.others_share;
-            demand.waiting *= capacity.others_share;
+            demand.running *= capacity.peer_share;
+            demand.waiting *= capacity.peer_share;
         }
         let slots = capacity.slots as f64;
         let reported: f64 = peer_demand.iter().map(|demand| demand.running).sum();
-        let capacity = (capacity.slots > 0).then_some(ServiceRoom {
+        let capacity = (capacity.slots > 0).then_some(ServiceCapacity {
             slots,
             short_queue: slots * self.short_queue_share,
-            unranked: (capacity.others_running - reported).max(0.0),
+            unranked: (capacity.peer_running - reported).max(0.0),
         });
-        let actions = self.queue.room_changed(capacity, peer_demand, now);
+        let actions = self.queue.update_capacity(capacity, peer_demand, now);
         self.deliver(actions);
     }
 
@@ -146,9 +151,9 @@
 
 /// A call to enqueue.
 pub(crate) struct EnqueueRequest<'a> {
-    pub(crate) head: &'a CallHead,
+    pub(crate) head: &'a CallMetadata,
     pub(crate) caller: &'a Caller,
-    pub(crate) selected: &'a Selected,
+    pub(crate) selected: &'a SelectedRoute,
     pub(crate) machine: &'a CallMachine,
     pub(crate) accepted: Timestamp,
     pub(crate) bytes: usize,
@@ -171,7 +176,7 @@
 }
 
 /// A call's place in its service's queue, and then its slot at the engines. Dropping it frees either.
-pub(crate) struct QueueSlot<D: Dialect> {
+pub(crate) struct QueueSlot<D: WireFormat> {
     edge: Arc<Edge<D>>,
     service: Arc<str>,
     ticket: QueueTicket,
@@ -180,7 +185,7 @@
     was_served: AtomicBool,
 }
 
-impl<D: Dialect> QueueSlot<D> {
+impl<D: WireFormat> QueueSlot<D> {
     /// Marks the call as served. Only served calls count in the queue's estimate of call durations.
     pub(crate) fn mark_served(&self) {
         self.was_served.store(true, Ordering::Relaxed);
@@ -191,31 +196,31 @@
         let now = self.edge.clock.now();
         let mut state = self.edge.queues.state();
         let service = state.services.get_mut(&self.service)?;
-        Some(service.queue.return_of_turned_away(now))
+        Some(service.queue.retry_after_engine_rejection(now))
     }
 }
 
-impl<D: Dialect> Drop for QueueSlot<D> {
+impl<D: WireFormat> Drop for QueueSlot<D> {
     fn drop(&mut self) {
         let now = self.edge.clock.now();
         let mut state = self.edge.queues.state();
         let Some(service) = state.services.get_mut(&self.service) else { return };
         service.waiters.remove(&self.ticket);
         let actions = match self.was_served.load(Ordering::Relaxed) {
-            true => service.queue.ended(self.ticket, now),
-            false => service.queue.gave_up(self.ticket, now),
+            true => service.queue.record_completed(self.ticket, now),
+            false => service.queue.record_abandoned(self.ticket, now),
         };
         service.deliver(actions);
     }
 }
 
-impl<D: Dialect> Edge<D> {
+impl<D: WireFormat> Edge<D> {
     /// Waits until the call is dispatched or rejected. `None` if calls are not queued.
     pub(crate) async fn wait_for_slot(
         self: &Arc<Self>,
         request: EnqueueRequest<'_>,
     ) -> Result<Option<QueueSlot<D>>, Next> {
-        let is_on = self.settings.off.allows(Mechanism::WaitingQueue);
+        let is_on = self.settings.disabled.is_enabled(Mechanism::WaitingQueue);
         if !is_on || !self.queues.has_ranks.load(Ordering::Acquire) {
             return Ok(None);
         }
@@ -224,17 +229,21 @@
         let action = decision.await;
         drop(waiting);
         match action {
-            Ok(ServiceQueueAction::LetIn { waited, .. }) => {
+            Ok(ServiceQueueAction::Admit { waited, .. }) => {
                 slot.waited = waited;
                 self.report_dispatched(&request, waited);
                 Ok(Some(slot))
             }
-            Ok(ServiceQueueAction::Refuse { reason, waited, expected_wait, retry_after, .. }) => {
+            Ok(ServiceQueueAction::Reject { reason, waited, expected_wait, retry_after, .. }) => {
                 if let Some(program) = request.program().filter(|_| !request.has_started) {
-                    self.queues.state().returning.told(program, retry_after, self.clock.now());
+                    self.queues.state().expected_retries.record_rejection(
+                        program,
+                        retry_after,
+                        self.clock.now(),
+                    );
                 }
                 self.report_rejected(&request, reason, waited, expected_wait, retry_after);
-                Err(request.machine.no_room(retry_after))
+                Err(request.machine.reject_overloaded(retry_after))
             }
             // The queue is gone: the call continues as if there were none.
             Err(_) => Ok(None),
@@ -252,9 +261,9 @@
         let mut state = self.queues.state();
         state.last_ticket += 1;
         let ticket = QueueTicket(state.last_ticket);
-        let is_returning =
-            request.program().is_some_and(|program| state.returning.is_returning(program, now));
-        let stage = match (request.has_started, is_returning) {
+        let is_expected =
+            request.program().is_some_and(|program| state.expected_retries.is_expected(program, now));
+        let stage = match (request.has_started, is_expected) {
             (true, _) => ProgramStage::UnderWay,
             (false, true) => ProgramStage::Returning,
             (false, false) => ProgramStage::New,
@@ -263,7 +272,7 @@
         self.refresh_if_stale(&mut state, name, is_stream(request), now);
         if let Some(service) = state.services.get_mut(name) {
             service.waiters.insert(ticket, sender);
-            let actions = service.queue.arrived(ticket, call, now);
+            let actions = service.queue.enqueue(ticket, call, now);
             service.deliver(actions);
             if service.queue.waiting() > 0 && !service.is_refreshing {
                 service.is_refreshing = true;
@@ -283,9 +292,9 @@
         QueuedCall {
             rank: request.rank(),
             stage,
-            program_end: time_left.map(|left| request.accepted + left),
+            program_deadline: time_left.map(|left| request.accepted + left),
             deadline: request.machine.deadline(),
-            usual_time: typical.unwrap_or(DEFAULT_CALL_TIME),
+            expected_duration: typical.unwrap_or(DEFAULT_CALL_TIME),
             bytes: request.bytes,
         }
     }
@@ -311,7 +320,7 @@
         peer_demand: &HashMap<u32, Vec<RankDemand>>,
         now: Timestamp,
     ) {
-        let capacity = self.engines().room(name, now);
+        let capacity = self.engines().capacity(name, now);
         let peer_demand = peer_demand.get(&service_key(name)).cloned().unwrap_or_default();
         service.update_capacity(capacity, peer_demand, now);
     }
@@ -347,7 +356,7 @@
     fn report_rejected(
         &self,
         request: &EnqueueRequest<'_>,
-        reason: RefusalReason,
+        reason: RejectionReason,
         waited: Duration,
         expected_wait: Duration,
         retry_after: Duration,
@@ -365,13 +374,13 @@
 
     /// State of a queue, for the log.
     fn queue_snapshot(&self, name: &Arc<str>) -> QueueSnapshot {
-        let age = self.engines().others_age(self.clock.now());
+        let age = self.engines().peer_report_age(self.clock.now());
         let state = self.queues.state();
         let queue = state.services.get(name).map(|service| &service.queue);
         QueueSnapshot {
             waiting: queue.map_or(0, ServiceQueue::waiting),
             running: queue.map_or(0, ServiceQueue::running),
-            slots: queue.and_then(ServiceQueue::room).map_or(0, |capacity| capacity.slots as usize),
+            slots: queue.and_then(ServiceQueue::capacity).map_or(0, |capacity| capacity.slots as usize),
             peer_age_millis: age.map(|age| age.as_millis() as u64),
         }
     }
@@ -389,7 +398,7 @@
 }
 
 /// Refreshes a service's queue at intervals until it is empty.
-async fn refresh_until_empty<D: Dialect>(edge: Weak<Edge<D>>, name: Arc<str>) {
+async fn refresh_until_empty<D: WireFormat>(edge: Weak<Edge<D>>, name: Arc<str>) {
     loop {
         tokio::time::sleep(REFRESH_INTERVAL).await;
         let Some(edge) = edge.upgrade() else { return };
--- a/crates/edge/src/state_exchange.rs
+++ b/crates/edge/src/state_exchange.rs
@@ -6,14 +6,14 @@
 
 use bytes::Bytes;
 use prost::Message;
-use sumacdrift_calls::{CallHead, EngineId};
-use sumacdrift_fleet_view::{News, PartHeld, View, engine_key, part_key};
-use sumacdrift_routing::PartNeed;
+use sumacdrift_calls::{CallMetadata, EngineId};
+use sumacdrift_fleet_view::{CachedPart, NodeReport, PeerView, engine_key, part_key};
+use sumacdrift_routing::RequiredPart;
 use sumacdrift_storage::ViewSink;
 use sumacdrift_types::Timestamp;
 
-use crate::dialect::Dialect;
 use crate::edge::Edge;
+use crate::wire_format::WireFormat;
 
 /// Minimum interval between load reports, and its increase per engine, which bounds the total report traffic of all
 /// edges when there are many engines.
@@ -56,36 +56,41 @@
 }
 
 /// The call's prompt parts by their hashed keys.
-pub(crate) fn prompt_parts(head: &CallHead) -> Vec<PartNeed> {
+pub(crate) fn prompt_parts(head: &CallMetadata) -> Vec<RequiredPart> {
     let parts = head.prompt.iter();
-    parts.map(|part| PartNeed { part: part_key(&part.id), tokens: part.tokens }).collect()
+    parts.map(|part| RequiredPart { part: part_key(&part.id), tokens: part.tokens }).collect()
 }
 
 /// The prompt parts that an engine has cached after a call. The answer's tokens extend the last part.
-pub(crate) fn cached_parts(engine: &EngineId, parts: &[PartNeed], answer_tokens: u64) -> Vec<PartHeld> {
-    let engine = engine_key(&engine.life_text());
+pub(crate) fn cached_parts(engine: &EngineId, parts: &[RequiredPart], answer_tokens: u64) -> Vec<CachedPart> {
+    let engine = engine_key(&engine.incarnation_text());
     let last = parts.len().saturating_sub(1);
-    let tokens_of = |index: usize, part: &PartNeed| {
+    let tokens_of = |index: usize, part: &RequiredPart| {
         let answer = if index == last { answer_tokens } else { 0 };
         u32::try_from(part.tokens + answer).unwrap_or(u32::MAX)
     };
-    let held = parts.iter().enumerate();
-    held.map(|(index, part)| PartHeld { part: part.part, engine, tokens: tokens_of(index, part) }).collect()
+    let cached_parts = parts.iter().enumerate();
+    cached_parts
+        .map(|(index, part)| CachedPart { part: part.part, engine, tokens: tokens_of(index, part) })
+        .collect()
 }
 
-impl<D: Dialect> Edge<D> {
+impl<D: WireFormat> Edge<D> {
     /// State to send when a turn begins: asks who has cached its prompt.
-    pub(crate) fn update_at_begin(&self, parts: &[PartNeed]) -> Bytes {
-        let asked_parts = last_parts(parts).iter().map(|part| part.part).collect();
-        self.encode_update(News { asked_parts, ..News::default() })
+    pub(crate) fn update_at_begin(&self, parts: &[RequiredPart]) -> Bytes {
+        let requested_parts = last_parts(parts).iter().map(|part| part.part).collect();
+        self.encode_update(NodeReport { requested_parts, ..NodeReport::default() })
     }
 
     /// State to send when a turn ends: the parts that an engine now has cached.
-    pub(crate) fn update_at_end(&self, held: &[PartHeld]) -> Bytes {
-        self.encode_update(News { held: last_parts(held).to_vec(), ..News::default() })
+    pub(crate) fn update_at_end(&self, cached_parts: &[CachedPart]) -> Bytes {
+        self.encode_update(NodeReport {
+            cached_parts: last_parts(cached_parts).to_vec(),
+            ..NodeReport::default()
+        })
     }
 
-    fn encode_update(&self, mut update: News) -> Bytes {
+    fn encode_update(&self, mut update: NodeReport) -> Bytes {
         let now = self.clock.now();
         let engines = self.engines().len();
         if self.exchange_schedule.is_report_due(engines, now) {
@@ -101,34 +106,34 @@
     /// Reports to the zone's board concurrently with the ledger request that is about to be sent, so that the
     /// board's response is there when an engine is selected.
     fn report_to_board(&self, now: Timestamp) {
-        let mut update = News::default();
+        let mut update = NodeReport::default();
         self.add_load_report(&mut update, now);
         let ledger = Arc::clone(&self.ledger);
         let update = Bytes::from(update.encode_to_vec());
         tokio::spawn(async move { ledger.tell_board(update).await });
     }
 
-    fn add_load_report(&self, update: &mut News, now: Timestamp) {
+    fn add_load_report(&self, update: &mut NodeReport, now: Timestamp) {
         update.node.clone_from(&self.settings.node);
         let relay = self.settings.relay.filter(|_| self.ledger.reaches_members());
         update.relay = relay.map(|relay| relay.to_string()).unwrap_or_default();
-        update.loads = Some(self.engines().loads(now));
+        update.loads = Some(self.engines().load_report(now));
         update.demands = self.queues.demands(now);
-        update.asks_loads = true;
-        update.asks_relays = self.exchange_schedule.is_relay_query_due(now);
+        update.wants_loads = true;
+        update.wants_relays = self.exchange_schedule.is_relay_query_due(now);
     }
 
-    fn apply_view(&self, view: View) {
+    fn apply_view(&self, view: PeerView) {
         let now = self.clock.now();
         let relays: Vec<SocketAddr> = view.relays.iter().filter_map(|relay| relay.parse().ok()).collect();
         self.ledger.learn_relays(relays);
         {
             let mut engines = self.engines();
             if let Some(loads) = &view.loads {
-                engines.others_told(loads, now);
+                engines.apply_peer_loads(loads, now);
             }
-            for held in view.held {
-                engines.others_hold(held, now);
+            for part in view.cached_parts {
+                engines.record_peer_cached_part(part, now);
             }
         }
         if view.loads.is_some() {
@@ -143,18 +148,18 @@
 }
 
 /// Passes views to an edge while it exists.
-pub(crate) struct EdgeViewSink<D: Dialect>(pub(crate) Weak<Edge<D>>);
+pub(crate) struct EdgeViewSink<D: WireFormat>(pub(crate) Weak<Edge<D>>);
 
-impl<D: Dialect> ViewSink for EdgeViewSink<D> {
+impl<D: WireFormat> ViewSink for EdgeViewSink<D> {
     fn take(&self, view: Bytes) {
         // Malformed views, and those that arrive after the edge is gone, are dropped.
-        if let (Some(edge), Ok(view)) = (self.0.upgrade(), View::decode(view)) {
+        if let (Some(edge), Ok(view)) = (self.0.upgrade(), PeerView::decode(view)) {
             edge.apply_view(view);
         }
     }
 }
 
 /// Subscribes an edge to the views that the ledger's replicas send.
-pub(crate) fn subscribe_to_views<D: Dialect>(edge: &Arc<Edge<D>>) {
+pub(crate) fn subscribe_to_views<D: WireFormat>(edge: &Arc<Edge<D>>) {
     edge.ledger.tell_views_to(Arc::new(EdgeViewSink(Arc::downgrade(edge))));
 }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -15,15 +15,15 @@
 
 use crate::attempt::{CallContext, EngineResponse, attempt_until_response};
 use crate::buffered::{buffer_response, forwarded_response};
-use crate::dialect::Dialect;
 use crate::engine_run::EngineRun;
 use crate::metrics::GaugeGuard;
 use crate::responses::{EdgeBody, RelayError, full_body};
 use crate::state_exchange::cached_parts;
 use crate::turn::{OpenTurn, result_code};
+use crate::wire_format::WireFormat;
 
 /// Runs a stream up to its first event, so that the response head and that event are sent together.
-pub(crate) async fn run_stream<D: Dialect>(
+pub(crate) async fn run_stream<D: WireFormat>(
     mut call: CallContext<D>,
     mut machine: CallMachine,
     turn: Option<OpenTurn>,
@@ -41,7 +41,7 @@
         // No other engine will get the prompt, which may be large.
         call.forwarded.body = Bytes::new();
     }
-    machine.head_given();
+    machine.record_head_sent();
     let mut relay = StreamRelay::new(call, machine, turn, response);
     let first = relay.next_chunk().await;
     let waited = relay.call.edge.clock.now().since(relay.call.accepted);
@@ -57,15 +57,15 @@
 }
 
 /// Forwards an engine's error response, which has no events.
-async fn forward_failure<D: Dialect>(
+async fn forward_failure<D: WireFormat>(
     call: CallContext<D>,
     machine: CallMachine,
     response: EngineResponse<D>,
 ) -> Result<Response<EdgeBody>, (CallContext<D>, CallMachine, Next)> {
-    let placed = response.run.placed().clone();
+    let placement = response.run.placement().clone();
     match buffer_response(&call, &machine, response).await {
         Ok((head, bytes)) => {
-            call.report_served(&machine, head.status.as_u16(), &placed);
+            call.report_served(&machine, head.status.as_u16(), &placement);
             Ok(forwarded_response(&head, full_body(bytes)))
         }
         Err(_) => Err((call, machine, Next::Fail { code: ResultCode::BackEndCut })),
@@ -75,7 +75,7 @@
 type Chunk = Option<Result<Bytes, RelayError>>;
 
 /// A stream that is being relayed.
-struct StreamRelay<D: Dialect> {
+struct StreamRelay<D: WireFormat> {
     call: CallContext<D>,
     machine: CallMachine,
     turn: Option<OpenTurn>,
@@ -86,7 +86,7 @@
     _in_flight: GaugeGuard,
 }
 
-impl<D: Dialect> StreamRelay<D> {
+impl<D: WireFormat> StreamRelay<D> {
     fn new(
         call: CallContext<D>,
         machine: CallMachine,
@@ -153,7 +153,7 @@
             turn.record_event(event);
         }
         self.call.edge.metrics.events.inc();
-        self.machine.event_given(event.id.clone());
+        self.machine.record_event_sent(event.id.clone());
     }
 
     async fn read(&mut self) -> ReadOutcome {
@@ -182,7 +182,7 @@
         let Some((_, run)) = self.source.take() else {
             return Some(Err(self.abort(ResultCode::Internal)));
         };
-        let placed = run.placed().clone();
+        let placement = run.placement().clone();
         run.finish_stream();
         let slot = self.call.slot.take();
         let waited = slot.as_ref().map_or(Duration::ZERO, |slot| slot.waited);
@@ -190,7 +190,7 @@
             slot.mark_served();
         }
         if let Some(turn) = self.turn.take()
-            && let Err(error) = self.commit(turn, &placed.engine).await
+            && let Err(error) = self.commit(turn, &placement.engine).await
         {
             return Some(Err(self.abort(result_code(error))));
         }
@@ -198,7 +198,7 @@
         let service_time = elapsed.saturating_sub(waited);
         self.call.edge.route_durations().observe(&self.call.selected.route.name, service_time);
         self.call.edge.metrics.stream_seconds.observe(elapsed.as_secs_f64());
-        self.call.report_served(&self.machine, StatusCode::OK.as_u16(), &placed);
+        self.call.report_served(&self.machine, StatusCode::OK.as_u16(), &placement);
         None
     }
 
@@ -207,7 +207,7 @@
         let edge = &self.call.edge;
         let cached = cached_parts(engine, &self.call.parts, turn.tokens());
         let now = edge.clock.now();
-        cached.iter().for_each(|cached| edge.engines().holds(*cached, now));
+        cached.iter().for_each(|cached| edge.engines().record_cached_part(*cached, now));
         turn.commit(edge.update_at_end(&cached)).await
     }
 
@@ -218,7 +218,7 @@
         self.fail_source(Outcome::Faulty);
         let Some(engine) = engine else { return Some(ResultCode::Internal) };
         let now = self.call.edge.clock.now();
-        let next = self.machine.failed(&engine, Failure::Lost, now);
+        let next = self.machine.record_failure(&engine, Failure::Lost, now);
         slog::info!(self.call.edge.logger, "engine aborted the stream"; "event" => "stream_broke_off",
             "call" => &self.call.head.id, "engine" => %engine, "events" => self.machine.events(),
             "next" => ?next, "age_ms" => self.call.age_millis());
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use slog::{Logger, info};
-use sumacdrift_calls::{CallHead, ProgramHead};
+use sumacdrift_calls::{CallMetadata, ProgramMetadata};
 use sumacdrift_ledger::{RetainedTurn, TurnBegun, TurnEnded};
-use sumacdrift_routing::Selected;
+use sumacdrift_routing::SelectedRoute;
 use sumacdrift_storage::{Admission, BeginTurn, LedgerClient, LedgerError};
 use sumacdrift_types::ResultCode;
 use tokio::time::Instant;
@@ -34,10 +34,10 @@
 }
 
 pub(crate) struct TurnRequest<'a> {
-    pub(crate) head: &'a CallHead,
-    pub(crate) program: &'a ProgramHead,
+    pub(crate) head: &'a CallMetadata,
+    pub(crate) program: &'a ProgramMetadata,
     pub(crate) caller: &'a Caller,
-    pub(crate) selected: &'a Selected,
+    pub(crate) selected: &'a SelectedRoute,
     /// The caller's request body.
     pub(crate) input: &'a Bytes,
     /// Encoded state for other edges, sent with the request.
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/wire_format.rs
@@ -5,13 +5,13 @@
 
 use http::{HeaderMap, StatusCode, request, response};
 use sumacdrift_access::ApiKey;
-use sumacdrift_calls::{CallHead, EngineId};
+use sumacdrift_calls::{CallMetadata, EngineId};
 use sumacdrift_types::ResultCode;
 
 /// Why the head of a caller's request was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{detail}")]
-pub struct BadCall {
+pub struct CallError {
     /// The result code to respond with.
     pub code: ResultCode,
     /// What is wrong with the request.
@@ -35,43 +35,44 @@
 
 /// Who checks the callers' API keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyUse {
+pub enum KeyHandling {
     /// The edge checks keys and does not forward them to engines.
-    System,
+    CheckedByEdge,
     /// No tenants are configured; keys are forwarded to engines.
-    Engines,
+    ForwardedToEngines,
 }
 
 /// Classification of an engine's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerKind {
+pub enum ResponseKind {
     /// The engine's own response to this call, to be forwarded unchanged.
-    Genuine,
+    Valid,
     /// The engine rejected the call without running it.
-    NotRun {
+    Rejected {
         /// When the engine asks to be retried.
         retry_after: Option<Duration>,
     },
     /// A different engine has the address; the call has not run.
     WrongEngine,
     /// The response belongs to another call.
-    Foreign,
+    Mismatched,
     /// Not a valid engine response, though it may come from an engine.
-    Spoiled,
+    Invalid,
 }
 
 /// A wire format between callers, the edge and engines.
-pub trait Dialect: Send + Sync + 'static {
+pub trait WireFormat: Send + Sync + 'static {
     /// Parses the head of a caller's request.
-    fn read_call(&self, head: &request::Parts) -> Result<CallHead, BadCall>;
+    fn parse_call(&self, head: &request::Parts) -> Result<CallMetadata, CallError>;
     /// The caller's API key; `None` if there is none, or more than one.
-    fn read_key(&self, headers: &HeaderMap) -> Option<ApiKey>;
-    /// Removes the headers that only the edge may send to engines, and with [`KeyUse::System`] the caller's key.
-    fn drop_owned(&self, headers: &mut HeaderMap, keys: KeyUse);
+    fn parse_key(&self, headers: &HeaderMap) -> Option<ApiKey>;
+    /// Removes the headers that only the edge may send to engines, and with [`KeyHandling::CheckedByEdge`] the
+    /// caller's key.
+    fn remove_reserved_headers(&self, headers: &mut HeaderMap, keys: KeyHandling);
     /// Headers of the request to an engine, built from the caller's headers that may be forwarded.
     fn engine_headers(&self, forwarded: HeaderMap, attempt: &EngineAttempt<'_>) -> HeaderMap;
     /// Classifies an engine's response.
-    fn read_answer(&self, head: &response::Parts, call: &CallHead) -> AnswerKind;
+    fn classify_response(&self, head: &response::Parts, call: &CallMetadata) -> ResponseKind;
     /// The HTTP status for a result code.
     fn status(&self, code: ResultCode) -> StatusCode;
 }
--- a/crates/engine-client/src/client.rs
+++ b/crates/engine-client/src/client.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
-use sumacdrift_http_client::{HttpClient, HttpError, next_piece};
+use sumacdrift_http_client::{HttpClient, HttpError, next_chunk};
 use sumacdrift_types::{ProgramId, Usage};
 
 use crate::EngineRequest;
@@ -42,10 +42,10 @@
     },
     /// The connection failed, or the stream ended before its last event.
     #[error("engine's stream was interrupted: {0}")]
-    Cut(String),
+    ConnectionLost(String),
     /// The response violates the protocol, or is too large.
     #[error("engine sent an invalid response")]
-    Garbage,
+    InvalidResponse,
     /// The engine sent nothing within the stall timeout.
     #[error("engine did not respond in time")]
     Stalled,
@@ -122,7 +122,8 @@
             .map_err(|error| EngineError::Unreachable(error.to_string()))?;
         let response =
             self.http.fetch(request, CONTROL_TIMEOUT, MAX_LIST_BYTES).await.map_err(engine_error)?;
-        let list: ProgramList = serde_json::from_slice(response.body()).map_err(|_| EngineError::Garbage)?;
+        let list: ProgramList =
+            serde_json::from_slice(response.body()).map_err(|_| EngineError::InvalidResponse)?;
         Ok(list.programs)
     }
 
@@ -150,7 +151,7 @@
 }
 
 async fn read_error_body(body: &mut Incoming) -> String {
-    let chunk = tokio::time::timeout(CONTROL_TIMEOUT, next_piece(body)).await;
+    let chunk = tokio::time::timeout(CONTROL_TIMEOUT, next_chunk(body)).await;
     let Ok(Ok(Some(chunk))) = chunk else { return String::new() };
     let end = chunk.len().min(MAX_ERROR_BODY_BYTES);
     String::from_utf8_lossy(&chunk[..end]).into_owned()
@@ -160,8 +161,8 @@
     match error {
         HttpError::NotSent(reason) => EngineError::Unreachable(reason),
         HttpError::TimedOut => EngineError::Stalled,
-        HttpError::Broken(reason) => EngineError::Cut(reason),
-        HttpError::TooLarge(_) => EngineError::Garbage,
+        HttpError::ConnectionLost(reason) => EngineError::ConnectionLost(reason),
+        HttpError::TooLarge(_) => EngineError::InvalidResponse,
     }
 }
 
@@ -218,10 +219,12 @@
     pub async fn next_items(&mut self) -> Result<Vec<StreamItem>, EngineError> {
         let mut items = Vec::new();
         while items.is_empty() && !self.has_ended {
-            let chunk = tokio::time::timeout(self.stall_timeout, next_piece(&mut self.body)).await;
+            let chunk = tokio::time::timeout(self.stall_timeout, next_chunk(&mut self.body)).await;
             match chunk.map_err(|_| EngineError::Stalled)?.map_err(engine_error)? {
-                Some(chunk) => self.events.push(&chunk).map_err(|_| EngineError::Garbage)?,
-                None => return Err(EngineError::Cut("the stream ended without [DONE]".to_owned())),
+                Some(chunk) => self.events.push(&chunk).map_err(|_| EngineError::InvalidResponse)?,
+                None => {
+                    return Err(EngineError::ConnectionLost("the stream ended without [DONE]".to_owned()));
+                }
             }
             while let Some(data) = self.events.next_data() {
                 if data.as_ref() == DONE_MARKER {
@@ -236,10 +239,10 @@
 }
 
 fn parse_chunk(data: &[u8], items: &mut Vec<StreamItem>) -> Result<(), EngineError> {
-    let chunk: Chunk<'_> = serde_json::from_slice(data).map_err(|_| EngineError::Garbage)?;
+    let chunk: Chunk<'_> = serde_json::from_slice(data).map_err(|_| EngineError::InvalidResponse)?;
     for choice in chunk.choices {
         let raw = choice.delta.get();
-        let delta: Delta<'_> = serde_json::from_str(raw).map_err(|_| EngineError::Garbage)?;
+        let delta: Delta<'_> = serde_json::from_str(raw).map_err(|_| EngineError::InvalidResponse)?;
         let text = delta.content.unwrap_or_default().into_owned();
         if !text.is_empty() || !delta.tool_calls.is_empty() {
             items.push(StreamItem::Delta { raw: raw.to_owned(), text, tool_calls: delta.tool_calls });
--- a/crates/fleet-view/src/load_table.rs
+++ b/crates/fleet-view/src/load_table.rs
@@ -5,7 +5,7 @@
 
 use sumacdrift_types::Timestamp;
 
-use crate::message::{EngineLoad, Loads, News, ServiceDemand};
+use crate::message::{EngineLoad, Loads, NodeReport, ServiceDemand};
 
 /// Time after which a report expires. A busy edge reports anew within a fraction of it.
 const REPORT_TTL: Duration = Duration::from_millis(1000);
@@ -27,15 +27,15 @@
 
 impl LoadTable {
     /// Replaces the sender's report and drops expired ones.
-    pub fn update(&mut self, news: &News, loads: Loads, now: Timestamp) {
-        let report = Report {
+    pub fn update(&mut self, report: &NodeReport, loads: Loads, now: Timestamp) {
+        let entry = Report {
             received_at: now,
             loads,
-            demands: news.demands.clone(),
-            relay: news.relay.clone(),
-            is_board: news.is_from_board,
+            demands: report.demands.clone(),
+            relay: report.relay.clone(),
+            is_board: report.is_from_board,
         };
-        self.reports.insert(news.node.clone(), report);
+        self.reports.insert(report.node.clone(), entry);
         self.reports.retain(|_, report| now.since(report.received_at) < REPORT_TTL);
     }
 
--- a/crates/fleet-view/src/message.rs
+++ b/crates/fleet-view/src/message.rs
@@ -1,9 +1,9 @@
-//! Protocol-buffer messages between edges and the replicas that distribute their news. Unknown fields are
+//! Protocol-buffer messages between edges and the replicas that distribute their reports. Unknown fields are
 //! ignored.
 
 /// Report of an edge or board, and what it asks for in return.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct News {
+pub struct NodeReport {
     /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
@@ -15,16 +15,16 @@
     pub loads: Option<Loads>,
     /// Parts of prompts that an engine has read.
     #[prost(message, repeated, tag = "4")]
-    pub held: Vec<PartHeld>,
+    pub cached_parts: Vec<CachedPart>,
     /// Parts of prompts whose holders are requested.
     #[prost(fixed64, repeated, tag = "5")]
-    pub asked_parts: Vec<u64>,
+    pub requested_parts: Vec<u64>,
     /// Requests the loads and demand of the other edges.
     #[prost(bool, tag = "6")]
-    pub asks_loads: bool,
+    pub wants_loads: bool,
     /// Requests the addresses of relays.
     #[prost(bool, tag = "7")]
-    pub asks_relays: bool,
+    pub wants_relays: bool,
     /// Whether the sender is a board, whose loads are the sums over the edges that report to it.
     #[prost(bool, tag = "8")]
     pub is_from_board: bool,
@@ -87,7 +87,7 @@
 
 /// A part of a prompt that an engine is believed to have cached.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct PartHeld {
+pub struct CachedPart {
     /// See [`crate::part_key`].
     #[prost(fixed64, tag = "1")]
     pub part: u64,
@@ -99,15 +99,15 @@
     pub tokens: u32,
 }
 
-/// Response to [`News`]: what the replica knows of the other edges.
+/// Response to [`NodeReport`]: what the replica knows of the other edges.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct View {
+pub struct PeerView {
     /// Sum over all other edges; set only if requested.
     #[prost(message, optional, tag = "1")]
     pub loads: Option<Loads>,
     /// Engines that hold the requested parts.
     #[prost(message, repeated, tag = "2")]
-    pub held: Vec<PartHeld>,
+    pub cached_parts: Vec<CachedPart>,
     /// Addresses of edges that forward requests; set only if requested.
     #[prost(string, repeated, tag = "3")]
     pub relays: Vec<String>,
--- a/crates/fleet-view/src/part_index.rs
+++ b/crates/fleet-view/src/part_index.rs
@@ -5,7 +5,7 @@
 
 use sumacdrift_types::Timestamp;
 
-use crate::message::PartHeld;
+use crate::message::CachedPart;
 
 /// Maximum number of holders per part.
 const MAX_HOLDERS_PER_PART: usize = 24;
@@ -50,15 +50,15 @@
     }
 
     /// Records that an engine holds a part.
-    pub fn note(&mut self, held: PartHeld, now: Timestamp) {
-        let part = self.parts.entry(held.part).or_default();
-        self.by_last_use.remove(&(part.used_at, held.part));
-        self.by_last_use.insert((now, held.part));
+    pub fn record(&mut self, cached: CachedPart, now: Timestamp) {
+        let part = self.parts.entry(cached.part).or_default();
+        self.by_last_use.remove(&(part.used_at, cached.part));
+        self.by_last_use.insert((now, cached.part));
         part.used_at = now;
-        let holder = Holder { engine: held.engine, tokens: held.tokens, used_at: now };
-        match part.holders.iter_mut().find(|known| known.engine == held.engine) {
+        let holder = Holder { engine: cached.engine, tokens: cached.tokens, used_at: now };
+        match part.holders.iter_mut().find(|known| known.engine == cached.engine) {
             // A cached part only grows; reports of turns may arrive out of order.
-            Some(known) => *known = Holder { tokens: known.tokens.max(held.tokens), ..holder },
+            Some(known) => *known = Holder { tokens: known.tokens.max(cached.tokens), ..holder },
             None => part.holders.push(holder),
         }
         if part.holders.len() > MAX_HOLDERS_PER_PART {
@@ -69,11 +69,11 @@
     }
 
     /// Engines that have used the part within the time to live.
-    pub fn holders(&self, part: u64, now: Timestamp) -> impl Iterator<Item = PartHeld> {
+    pub fn holders(&self, part: u64, now: Timestamp) -> impl Iterator<Item = CachedPart> {
         let holders = self.parts.get(&part).map(|part| part.holders.as_slice()).unwrap_or_default();
         let ttl = self.ttl;
         let recent = holders.iter().filter(move |holder| now.since(holder.used_at) < ttl);
-        recent.map(move |holder| PartHeld { part, engine: holder.engine, tokens: holder.tokens })
+        recent.map(move |holder| CachedPart { part, engine: holder.engine, tokens: holder.tokens })
     }
 
     fn evict(&mut self, now: Timestamp) {
--- a/crates/fleet-view/tests/recorded_forms/main.rs
+++ b/crates/fleet-view/tests/recorded_forms/main.rs
@@ -8,7 +8,7 @@
 
 use prost::Message;
 use sumacdrift_fleet_view::{
-    EngineLoad, Loads, News, PartHeld, ServiceDemand, View, engine_key, part_key, service_key,
+    CachedPart, EngineLoad, Loads, NodeReport, PeerView, ServiceDemand, engine_key, part_key, service_key,
 };
 use sumacdrift_recorded_forms::{Codec, RecordedForms};
 
@@ -43,48 +43,53 @@
     vec![ServiceDemand { service: SERVICE, rank: 257, running: 5, waiting: 2 }]
 }
 
-fn held() -> Vec<PartHeld> {
-    vec![PartHeld { part: PART, engine: ENGINE, tokens: 640 }]
+fn cached_parts() -> Vec<CachedPart> {
+    vec![CachedPart { part: PART, engine: ENGINE, tokens: 640 }]
 }
 
-fn news(loads: Loads, is_from_board: bool) -> News {
-    News {
+fn report(loads: Loads, is_from_board: bool) -> NodeReport {
+    NodeReport {
         node: "e1".to_owned(),
         relay: RELAY.to_owned(),
         loads: Some(loads),
-        held: held(),
-        asked_parts: vec![PART],
-        asks_loads: true,
-        asks_relays: true,
+        cached_parts: cached_parts(),
+        requested_parts: vec![PART],
+        wants_loads: true,
+        wants_relays: true,
         is_from_board,
         demands: Vec::new(),
     }
 }
 
-fn newest_news() -> News {
-    News { demands: demands(), ..news(loads(), true) }
+fn newest_report() -> NodeReport {
+    NodeReport { demands: demands(), ..report(loads(), true) }
 }
 
-fn view(loads: Loads) -> View {
-    View { loads: Some(loads), held: held(), relays: vec![RELAY.to_owned()], demands: Vec::new() }
+fn view(loads: Loads) -> PeerView {
+    PeerView {
+        loads: Some(loads),
+        cached_parts: cached_parts(),
+        relays: vec![RELAY.to_owned()],
+        demands: Vec::new(),
+    }
 }
 
-fn newest_view() -> View {
-    View { demands: demands(), ..view(loads()) }
+fn newest_view() -> PeerView {
+    PeerView { demands: demands(), ..view(loads()) }
 }
 
 #[test]
 fn recorded_forms_are_read_and_the_newest_is_written() {
     let mut forms = recorded();
-    forms.reads(&Codec::message(), NEWS, "1", &news(first_loads(), false));
-    forms.reads(&Codec::message(), NEWS, "2", &news(loads_with_failures(), false));
-    forms.reads(&Codec::message(), NEWS, "3", &news(loads_with_failures(), true));
-    forms.writes(&Codec::message(), NEWS, "4", &newest_news());
-    forms.writes_bare(&Codec::message(), NEWS, &News::default());
+    forms.reads(&Codec::message(), NEWS, "1", &report(first_loads(), false));
+    forms.reads(&Codec::message(), NEWS, "2", &report(loads_with_failures(), false));
+    forms.reads(&Codec::message(), NEWS, "3", &report(loads_with_failures(), true));
+    forms.writes(&Codec::message(), NEWS, "4", &newest_report());
+    forms.writes_bare(&Codec::message(), NEWS, &NodeReport::default());
     forms.reads(&Codec::message(), VIEW, "1", &view(first_loads()));
     forms.reads(&Codec::message(), VIEW, "2", &view(loads_with_failures()));
     forms.writes(&Codec::message(), VIEW, "3", &newest_view());
-    forms.writes_bare(&Codec::message(), VIEW, &View::default());
+    forms.writes_bare(&Codec::message(), VIEW, &PeerView::default());
     if let Err(failures) = forms.finish(&[NEWS, VIEW]) {
         panic!("{failures}");
     }
@@ -98,9 +103,9 @@
 #[test]
 fn earlier_builds_read_the_known_fields_of_todays_messages() {
     let mut forms = recorded();
-    assert_eq!(reencode_as::<older::FirstNews>(&newest_news()), forms.bytes(NEWS, "1"));
-    assert_eq!(reencode_as::<older::NewsWithFailures>(&newest_news()), forms.bytes(NEWS, "2"));
-    assert_eq!(reencode_as::<older::NewsOfBoards>(&newest_news()), forms.bytes(NEWS, "3"));
+    assert_eq!(reencode_as::<older::FirstNews>(&newest_report()), forms.bytes(NEWS, "1"));
+    assert_eq!(reencode_as::<older::NewsWithFailures>(&newest_report()), forms.bytes(NEWS, "2"));
+    assert_eq!(reencode_as::<older::NewsOfBoards>(&newest_report()), forms.bytes(NEWS, "3"));
     assert_eq!(reencode_as::<older::FirstView>(&newest_view()), forms.bytes(VIEW, "1"));
     assert_eq!(reencode_as::<older::ViewWithFailures>(&newest_view()), forms.bytes(VIEW, "2"));
 }
--- a/crates/fleet-view/tests/recorded_forms/older.rs
+++ b/crates/fleet-view/tests/recorded_forms/older.rs
@@ -1,6 +1,6 @@
 //! Messages of earlier builds, with the fields and tags copied from them.
 
-use sumacdrift_fleet_view::PartHeld;
+use sumacdrift_fleet_view::CachedPart;
 
 /// As of build ed4b611.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -12,7 +12,7 @@
     #[prost(message, optional, tag = "3")]
     pub loads: Option<FirstLoads>,
     #[prost(message, repeated, tag = "4")]
-    pub held: Vec<PartHeld>,
+    pub held: Vec<CachedPart>,
     #[prost(fixed64, repeated, tag = "5")]
     pub asked_parts: Vec<u64>,
     #[prost(bool, tag = "6")]
@@ -31,7 +31,7 @@
     #[prost(message, optional, tag = "3")]
     pub loads: Option<LoadsWithFailures>,
     #[prost(message, repeated, tag = "4")]
-    pub held: Vec<PartHeld>,
+    pub held: Vec<CachedPart>,
     #[prost(fixed64, repeated, tag = "5")]
     pub asked_parts: Vec<u64>,
     #[prost(bool, tag = "6")]
@@ -64,7 +64,7 @@
     #[prost(message, optional, tag = "1")]
     pub loads: Option<FirstLoads>,
     #[prost(message, repeated, tag = "2")]
-    pub held: Vec<PartHeld>,
+    pub held: Vec<CachedPart>,
     #[prost(string, repeated, tag = "3")]
     pub relays: Vec<String>,
 }
@@ -79,7 +79,7 @@
     #[prost(message, optional, tag = "3")]
     pub loads: Option<LoadsWithFailures>,
     #[prost(message, repeated, tag = "4")]
-    pub held: Vec<PartHeld>,
+    pub held: Vec<CachedPart>,
     #[prost(fixed64, repeated, tag = "5")]
     pub asked_parts: Vec<u64>,
     #[prost(bool, tag = "6")]
@@ -118,7 +118,7 @@
     #[prost(message, optional, tag = "1")]
     pub loads: Option<LoadsWithFailures>,
     #[prost(message, repeated, tag = "2")]
-    pub held: Vec<PartHeld>,
+    pub held: Vec<CachedPart>,
     #[prost(string, repeated, tag = "3")]
     pub relays: Vec<String>,
 }
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -28,7 +28,7 @@
     NotSent(String),
     /// The connection broke after something may have been sent.
     #[error("connection to the back end failed: {0}")]
-    Broken(String),
+    ConnectionLost(String),
     /// No response arrived in time; the request may have been received.
     #[error("back end did not respond in time")]
     TimedOut,
@@ -79,7 +79,7 @@
             Err(_) => Err(HttpError::TimedOut),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => Err(HttpError::NotSent(describe(&error))),
-            Ok(Err(error)) => Err(HttpError::Broken(describe(&error))),
+            Ok(Err(error)) => Err(HttpError::ConnectionLost(describe(&error))),
         }
     }
 
@@ -92,7 +92,7 @@
     ) -> Result<Response<Bytes>, HttpError> {
         let exchange = async {
             let (head, body) = self.send(request, timeout).await?.into_parts();
-            let body = gather(body, max_bytes).await?;
+            let body = read_body(body, max_bytes).await?;
             Ok(Response::from_parts(head, body))
         };
         tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(HttpError::TimedOut))
@@ -100,11 +100,11 @@
 }
 
 /// The next chunk of a body; `None` at its regular end.
-pub async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>, HttpError> {
+pub async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>, HttpError> {
     loop {
         match body.frame().await {
             None => return Ok(None),
-            Some(Err(error)) => return Err(HttpError::Broken(error.to_string())),
+            Some(Err(error)) => return Err(HttpError::ConnectionLost(error.to_string())),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
@@ -115,10 +115,10 @@
 }
 
 /// Reads a whole body of at most `max_bytes`. A body that arrives in one chunk is not copied.
-pub async fn gather(mut body: Incoming, max_bytes: usize) -> Result<Bytes, HttpError> {
+pub async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, HttpError> {
     let mut first_chunk = Bytes::new();
     let mut buffer = BytesMut::new();
-    while let Some(chunk) = next_piece(&mut body).await? {
+    while let Some(chunk) = next_chunk(&mut body).await? {
         if first_chunk.len().max(buffer.len()) + chunk.len() > max_bytes {
             return Err(HttpError::TooLarge(max_bytes));
         }
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sumacdrift_mutants::{Rule, is_broken};
-use sumacdrift_types::{Nearness, Places, Timestamp};
+use sumacdrift_types::{Nearness, Timestamp, Topology};
 
 use crate::group::{Group, Member};
 use crate::group_map::GroupMap;
@@ -164,7 +164,7 @@
     /// regions, and a new member reads all of it.
     pub fn place_step(
         self,
-        places: &Places,
+        places: &Topology,
         map: &GroupMap,
         own: &Member,
         watch: &MemberWatch,
@@ -216,8 +216,8 @@
 }
 
 /// Whether a group has a member in the machine's region, or no members.
-fn shares_region(places: &Places, group: &Group, own: &Member) -> bool {
-    let is_near = |member: &Member| places.nearness(&member.zone, &own.zone) != Nearness::Elsewhere;
+fn shares_region(places: &Topology, group: &Group, own: &Member) -> bool {
+    let is_near = |member: &Member| places.nearness(&member.zone, &own.zone) != Nearness::OtherRegion;
     let is_empty = group.members.is_empty();
     is_empty || group.members.iter().any(is_near) || is_broken(Rule::LedgerStaysInItsRegions)
 }
--- a/crates/ledger/tests/member_removal.rs
+++ b/crates/ledger/tests/member_removal.rs
@@ -6,7 +6,7 @@
 use sumacdrift_ledger::{
     ChangeReason, Group, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch, Patience, PlaceStep,
 };
-use sumacdrift_types::{Places, Timestamp};
+use sumacdrift_types::{Timestamp, Topology};
 
 const CATCH_UP_DEADLINE: Duration = Duration::from_secs(4);
 /// Longer than any removal timeout.
@@ -53,7 +53,7 @@
         let map = GroupMap::new(vec![self.group.clone()]);
         let patience = Patience::of_new_machine(CATCH_UP_DEADLINE);
         let policy = GroupPolicy::tolerating(1);
-        policy.place_step(&Places::default(), &map, &member("a"), &self.watch, patience, now)
+        policy.place_step(&Topology::default(), &map, &member("a"), &self.watch, patience, now)
     }
 
     fn removes_lost_member(&mut self, silent_for: u64, witnesses: &[(&str, MemberTold)]) -> bool {
--- a/crates/ledger/tests/mutants.rs
+++ b/crates/ledger/tests/mutants.rs
@@ -10,7 +10,7 @@
 use cluster::Cluster;
 use sumacdrift_ledger::{Group, GroupMap, GroupPolicy, Member, MemberWatch, Patience, PlaceStep};
 use sumacdrift_mutants::{Rule, with_broken};
-use sumacdrift_types::{Places, RegionName, Timestamp};
+use sumacdrift_types::{RegionName, Timestamp, Topology};
 
 const SEEDS: u64 = 400;
 const STEPS: usize = 1_500;
@@ -31,7 +31,7 @@
 
 fn joins_group_in_another_region() -> bool {
     let region = |name: &str| RegionName::new(name).expect("valid region name");
-    let places = Places::new(
+    let places = Topology::new(
         [("z1", "a"), ("z2", "b")].map(|(zone, region_name)| (Arc::from(zone), region(region_name))),
     );
     let member = |node: &str, zone: &str| Member {
--- a/crates/ledger/tests/partial_partition/mod.rs
+++ b/crates/ledger/tests/partial_partition/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sumacdrift_ledger::{Group, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch, Patience, PlaceStep};
-use sumacdrift_types::{Places, Timestamp};
+use sumacdrift_types::{Timestamp, Topology};
 
 pub fn member(node: &str) -> Member {
     Member { node: node.to_owned(), address: ([127, 0, 0, 1], 1).into(), zone: "z".to_owned(), joined: 0 }
@@ -21,7 +21,7 @@
 pub fn place_step(watch: &MemberWatch, patience: Patience, now: Timestamp) -> PlaceStep {
     let map = GroupMap::new(vec![Group::founded(["a", "b", "c"].map(member).to_vec())]);
     let policy = GroupPolicy::tolerating(1);
-    policy.place_step(&Places::default(), &map, &member("new"), watch, patience, now)
+    policy.place_step(&Topology::default(), &map, &member("new"), watch, patience, now)
 }
 
 /// Whether a machine that cannot reach `c`, unlike the other members, replaces it.
--- a/crates/ledger/tests/placement.rs
+++ b/crates/ledger/tests/placement.rs
@@ -8,7 +8,7 @@
     Candidate, Capacity, ChangeReason, Group, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch,
     Patience, PlaceStep,
 };
-use sumacdrift_types::{Places, RegionName, Timestamp};
+use sumacdrift_types::{RegionName, Timestamp, Topology};
 
 fn member(node: &str, zone: &str) -> Member {
     Member { node: node.to_owned(), address: ([127, 0, 0, 1], 1).into(), zone: zone.to_owned(), joined: 0 }
@@ -70,7 +70,7 @@
     let watch = MemberWatch::default();
     let small = group_of_five().without("c");
     let step = policy.place_step(
-        &Places::default(),
+        &Topology::default(),
         &single_group(small),
         &member("f", "z"),
         &watch,
@@ -81,7 +81,7 @@
     assert_eq!(names(&group), ["a", "b", "d", "e", "f"]);
     assert_eq!(
         policy.place_step(
-            &Places::default(),
+            &Topology::default(),
             &single_group(group_of_five()),
             &member("f", "z"),
             &watch,
@@ -97,7 +97,7 @@
     let mut moved = member("c", "z");
     moved.address = ([127, 0, 0, 2], 1).into();
     let step = GroupPolicy::tolerating(2).place_step(
-        &Places::default(),
+        &Topology::default(),
         &single_group(group_of_five()),
         &moved,
         &MemberWatch::default(),
@@ -124,7 +124,7 @@
         watch.silent("d", at(second * 1_000));
         watch.silent("e", at(second * 1_000));
         let step = policy.place_step(
-            &Places::default(),
+            &Topology::default(),
             &single_group(group_of_five()),
             &own,
             &watch,
@@ -157,7 +157,7 @@
     watch.silent("e", at(9_000));
     assert_eq!(
         policy.place_step(
-            &Places::default(),
+            &Topology::default(),
             &single_group(group_of_five()),
             &member("f", "z"),
             &watch,
@@ -232,7 +232,7 @@
     let spare = member("spare", "z0");
     let shrunk = map.groups()[1].without(&map.groups()[1].members[0].node);
     let step = policy.place_step(
-        &Places::default(),
+        &Topology::default(),
         &map.with(shrunk),
         &spare,
         &MemberWatch::default(),
@@ -251,15 +251,15 @@
             };
         }
     }
-    let step = policy.place_step(&Places::default(), &map, &spare, &watch, Patience::LONG, at(7_000));
+    let step = policy.place_step(&Topology::default(), &map, &spare, &watch, Patience::LONG, at(7_000));
     let PlaceStep::Change { group, reason: ChangeReason::ReplacedLost } = step else { panic!("{step:?}") };
     assert_eq!(group.number, 1);
     assert!(group.member(&lost).is_none() && group.member("spare").is_some());
 }
 
-fn two_regions() -> Places {
+fn two_regions() -> Topology {
     let region = |name: &str| RegionName::new(name).expect("valid region name");
-    Places::new([("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(zone, name)| (Arc::from(zone), region(name))))
+    Topology::new([("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(zone, name)| (Arc::from(zone), region(name))))
 }
 
 /// A group's content may be restricted to its regions, and a new member reads all of it.
--- a/crates/ledger/tests/zone_simulation/mod.rs
+++ b/crates/ledger/tests/zone_simulation/mod.rs
@@ -9,7 +9,7 @@
 use sumacdrift_ledger::{
     Candidate, Capacity, GroupMap, GroupPolicy, Member, MemberTold, MemberWatch, Patience, PlaceStep,
 };
-use sumacdrift_types::{Places, Timestamp};
+use sumacdrift_types::{Timestamp, Topology};
 
 const STEPS: usize = 30;
 /// Time per step, long enough that an unresponsive member counts as lost.
@@ -73,9 +73,14 @@
             if self.down.contains(&own.node) {
                 continue;
             }
-            if let PlaceStep::Change { group, .. } =
-                self.policy.place_step(&Places::default(), &self.map, &own, &watch, Patience::LONG, self.now)
-            {
+            if let PlaceStep::Change { group, .. } = self.policy.place_step(
+                &Topology::default(),
+                &self.map,
+                &own,
+                &watch,
+                Patience::LONG,
+                self.now,
+            ) {
                 self.map = self.map.with(group);
             }
         }
--- a/crates/node/src/attempt_outcome.rs
+++ b/crates/node/src/attempt_outcome.rs
@@ -29,8 +29,8 @@
 pub(crate) fn classify_failure(error: &EngineError) -> Failure {
     match error {
         EngineError::Unreachable(_) => Failure::NotSent,
-        EngineError::Refused { .. } | EngineError::Garbage => Failure::Spoiled,
-        EngineError::Cut(_) | EngineError::Stalled => Failure::Lost,
+        EngineError::Refused { .. } | EngineError::InvalidResponse => Failure::Spoiled,
+        EngineError::ConnectionLost(_) | EngineError::Stalled => Failure::Lost,
     }
 }
 
@@ -39,8 +39,8 @@
     let code = match error {
         EngineError::Unreachable(_) => ResultCode::BackEndUnreachable,
         EngineError::Refused { .. } => ResultCode::BackEndRefused,
-        EngineError::Cut(_) | EngineError::Stalled => ResultCode::BackEndCut,
-        EngineError::Garbage => ResultCode::BackEndGarbage,
+        EngineError::ConnectionLost(_) | EngineError::Stalled => ResultCode::BackEndCut,
+        EngineError::InvalidResponse => ResultCode::BackEndGarbage,
     };
     Problem::unknown(code, error.to_string())
 }
--- a/crates/node/src/chat_runner/attempts.rs
+++ b/crates/node/src/chat_runner/attempts.rs
@@ -8,7 +8,7 @@
 use sumacdrift_engine_client::{AnswerBuilder, EngineError, EngineRequest, EngineStream, StreamItem};
 use sumacdrift_gateway::ChatItem;
 use sumacdrift_program::{Answer, RunTurn};
-use sumacdrift_scheduling::{ContextPrefix, FinishedWork, RetryBudget, Work, context_prefixes};
+use sumacdrift_scheduling::{ContextPrefix, EngineWork, FinishedWork, RetryBudget, context_prefixes};
 use sumacdrift_types::{ChatMessage, EngineName, Problem, ResultCode, Timestamp, Usage};
 
 use super::{
@@ -100,7 +100,7 @@
     pub(super) async fn place(
         &self,
         turn: &Turn,
-        work: &Work,
+        work: &EngineWork,
         preferred: &[EngineName],
         failed: &[EngineName],
     ) -> Result<Grant, Problem> {
@@ -135,8 +135,8 @@
         }
     }
 
-    pub(super) fn build_work(&self, turn: &Turn, run: &RunTurn, prefixes: &[ContextPrefix]) -> Work {
-        Work {
+    pub(super) fn build_work(&self, turn: &Turn, run: &RunTurn, prefixes: &[ContextPrefix]) -> EngineWork {
+        EngineWork {
             call: turn.call.call,
             program: engine_program(turn),
             tenant: turn.call.tenant.clone(),
@@ -163,7 +163,7 @@
         let generated_before = progress.generated;
         // Recorded before sending: from here on the engine may have seen the request, unless connecting
         // fails.
-        progress.machine.sent(&engine_id(&grant.engine));
+        progress.machine.record_sent(&engine_id(&grant.engine));
         progress.tried.push(grant.engine.clone());
         let started = self.engine_client.start(grant.address, request, turn.pool.stall_timeout).await;
         let mut stream = match started {
@@ -206,8 +206,8 @@
         });
         release.finished = Some(FinishedWork {
             usage: progress.usage,
-            first_token: first.since(sent),
-            decoding: now.since(first),
+            time_to_first_token: first.since(sent),
+            decode_time: now.since(first),
             end,
         });
     }
@@ -223,7 +223,7 @@
             let items = stream.next_items().await?;
             if items.is_empty() {
                 let reason = progress.answer.finish_reason().map(str::to_owned);
-                return reason.ok_or(EngineError::Garbage);
+                return reason.ok_or(EngineError::InvalidResponse);
             }
             let mut deltas = Vec::with_capacity(items.len());
             for item in items {
@@ -255,7 +255,7 @@
     }
 
     pub(super) fn record_first_attempt(&self, turn: &Turn) {
-        self.with_retry_budget(turn, RetryBudget::attempted);
+        self.with_retry_budget(turn, RetryBudget::record_attempt);
     }
 
     pub(super) fn check_retry(
@@ -270,7 +270,7 @@
             progress.machine.forbid_resumption();
         }
         let now = self.context.now();
-        let next = progress.machine.failed(&engine_id(engine), classify_failure(error), now);
+        let next = progress.machine.record_failure(&engine_id(engine), classify_failure(error), now);
         if !matches!(next, Next::Try { .. }) {
             return Err(problem);
         }
--- a/crates/node/src/engine_owner.rs
+++ b/crates/node/src/engine_owner.rs
@@ -6,7 +6,7 @@
 
 use slog::info;
 use sumacdrift_engine_client::EngineClient;
-use sumacdrift_scheduling::{Bid, ContextPrefix, EngineLoad, EngineQueue, QueueEffect, Release, Work};
+use sumacdrift_scheduling::{Bid, ContextPrefix, EngineLoad, EngineQueue, EngineWork, QueueEffect, Release};
 use sumacdrift_types::{CallId, EngineName, Problem, ProgramId, ResultCode};
 use tokio::sync::oneshot;
 
@@ -56,7 +56,7 @@
 
     /// Enqueues a call and waits until the engine's queue grants or rejects it. Dropping the future cancels
     /// the call.
-    pub(crate) async fn enqueue(&self, engine: &EngineName, work: Work) -> Result<(), Problem> {
+    pub(crate) async fn enqueue(&self, engine: &EngineName, work: EngineWork) -> Result<(), Problem> {
         let call = work.call;
         let (sender, receiver) = oneshot::channel();
         {
@@ -93,7 +93,7 @@
         let mut owned = self.lock();
         if let Some(entry) = owned.get_mut(engine) {
             entry.waiters.remove(&call);
-            entry.queue.forget(call);
+            entry.queue.cancel(call);
             let release = Release { call, finished: None, is_engine_fault: false };
             let effects = entry.queue.release(release, now);
             deliver_outcomes(entry, effects);
@@ -146,7 +146,7 @@
             if let Some((pool, _)) = found {
                 entry.queue.reconfigure(pool.queue);
             }
-            let effects = entry.queue.set_leaving(is_leaving);
+            let effects = entry.queue.set_draining(is_leaving);
             deliver_outcomes(entry, effects);
         }
     }
@@ -173,7 +173,7 @@
             let bundle = self.configuration.current()?;
             let (pool, configured) = bundle.engines().find(|(_, candidate)| candidate.name == *engine)?;
             let mut queue = EngineQueue::new(engine.clone(), pool.queue);
-            queue.set_leaving(configured.is_leaving);
+            queue.set_draining(configured.is_leaving);
             owned.insert(engine.clone(), OwnedEngine { queue, waiters: HashMap::new() });
         }
         owned.get_mut(engine)
@@ -188,7 +188,7 @@
     for effect in effects {
         let (call, outcome) = match effect {
             QueueEffect::Grant { call } => (call, Ok(())),
-            QueueEffect::Refuse { call, problem } => (call, Err(problem)),
+            QueueEffect::Reject { call, problem } => (call, Err(problem)),
         };
         if let Some(waiter) = entry.waiters.remove(&call) {
             // A waiter that was dropped frees the grant through `CancelOnDrop`.
--- a/crates/node/src/engine_router.rs
+++ b/crates/node/src/engine_router.rs
@@ -8,7 +8,9 @@
 use rand::Rng;
 use sumacdrift_config::{Engine, Pool};
 use sumacdrift_proto::{EngineReply, EngineRequest, OneWay, Request, Response};
-use sumacdrift_scheduling::{Bid, ContextPrefix, Placement, Release, Work, choose, sample_candidates};
+use sumacdrift_scheduling::{
+    Bid, ContextPrefix, EngineWork, Placement, Release, choose_bid, sample_candidates,
+};
 use sumacdrift_types::{EngineName, NodeId, Problem, ProgramId, ResultCode};
 
 use crate::configuration::ConfigurationStore;
@@ -57,7 +59,7 @@
     pub(crate) async fn place(
         &self,
         pool: &Pool,
-        work: &Work,
+        work: &EngineWork,
         preferred: &[EngineName],
         failed: &[EngineName],
         queue_time: Duration,
@@ -71,7 +73,7 @@
             bids = self.collect_bids(&usable, &names, &work.prefixes).await;
         }
         let rate = pool.queue.rates.prefill_tokens_per_second;
-        let placement = choose(&bids, &pool.weights, rate).ok_or_else(|| no_engine_available(pool))?;
+        let placement = choose_bid(&bids, &pool.weights, rate).ok_or_else(|| no_engine_available(pool))?;
         check_queue_time(&placement, queue_time)?;
         self.enqueue(&usable, placement, work, queue_time).await
     }
@@ -139,7 +141,7 @@
         &self,
         usable: &[&Engine],
         placement: Placement,
-        work: &Work,
+        work: &EngineWork,
         queue_time: Duration,
     ) -> Result<Grant, Problem> {
         let name = placement.bid.engine;
@@ -158,7 +160,7 @@
         &self,
         owner: NodeId,
         engine: &EngineName,
-        work: &Work,
+        work: &EngineWork,
         queue_time: Duration,
     ) -> Result<(), Problem> {
         let address = self.fleet.address_of(owner).ok_or_else(|| owner_unreachable(engine))?;
--- a/crates/node/src/service_runner.rs
+++ b/crates/node/src/service_runner.rs
@@ -12,7 +12,7 @@
 use sumacdrift_calls::{CallKind, CallMachine, CallRules, EngineId, Failure, Next};
 use sumacdrift_config::{Service, ServiceBackEnd};
 use sumacdrift_gateway::{ServiceAnswer, ServiceBody, ServiceCall};
-use sumacdrift_http_client::{HttpClient, HttpError, next_piece};
+use sumacdrift_http_client::{HttpClient, HttpError, next_chunk};
 use sumacdrift_program::{BeginService, Command, LedgerKey, Reply, ServiceResponse};
 use sumacdrift_types::{Problem, Ran, ResultCode, Timestamp};
 use tokio::sync::{mpsc, oneshot};
@@ -85,7 +85,7 @@
         let mut machine = self.call_machine(CallKind::Repeatable, service);
         for back_end in self.ordered_back_ends(service) {
             let request = to_request(call, back_end.address)?;
-            machine.sent(&back_end_id(&back_end));
+            machine.record_sent(&back_end_id(&back_end));
             match self.http.send(request, service.deadline).await {
                 Ok(response) => return Ok(self.stream_answer(call, response)),
                 Err(error) => {
@@ -120,10 +120,10 @@
     ) -> bool {
         let failure = match error {
             HttpError::NotSent(_) => Failure::NotSent,
-            HttpError::Broken(_) | HttpError::TimedOut => Failure::Lost,
+            HttpError::ConnectionLost(_) | HttpError::TimedOut => Failure::Lost,
             HttpError::TooLarge(_) => Failure::Spoiled,
         };
-        let next = machine.failed(&back_end_id(back_end), failure, self.context.now());
+        let next = machine.record_failure(&back_end_id(back_end), failure, self.context.now());
         matches!(next, Next::Try { .. })
     }
 
@@ -138,7 +138,7 @@
         running_calls.register(id);
         tokio::spawn(async move {
             loop {
-                let piece = match next_piece(&mut body).await {
+                let piece = match next_chunk(&mut body).await {
                     Ok(Some(piece)) => Ok(piece),
                     Ok(None) => break,
                     Err(error) => Err(std::io::Error::other(error)),
@@ -230,7 +230,7 @@
         let mut machine = self.call_machine(CallKind::Once, &service);
         for back_end in self.ordered_back_ends(&service) {
             let request = to_request(&call, back_end.address)?;
-            machine.sent(&back_end_id(&back_end));
+            machine.record_sent(&back_end_id(&back_end));
             match self.http.fetch(request, service.deadline, MAX_RECORDED_BYTES).await {
                 Ok(response) => return self.record_answer(&call, &key, response).await,
                 // Another back end may be tried only if nothing was sent to this one.
@@ -342,7 +342,7 @@
     match error {
         HttpError::NotSent(_) => Problem::not_run(ResultCode::BackEndUnreachable, error.to_string())
             .with_retry_after(Duration::from_secs(1)),
-        HttpError::Broken(_) => Problem::unknown(ResultCode::BackEndCut, error.to_string()),
+        HttpError::ConnectionLost(_) => Problem::unknown(ResultCode::BackEndCut, error.to_string()),
         HttpError::TimedOut => Problem::unknown(ResultCode::DeadlineExceeded, error.to_string()),
         HttpError::TooLarge(_) => Problem::unknown(ResultCode::BackEndGarbage, error.to_string()),
     }
--- a/crates/proto/src/request.rs
+++ b/crates/proto/src/request.rs
@@ -7,7 +7,7 @@
 use sumacdrift_membership::Envelope;
 use sumacdrift_program::{Command, Reply, Runner};
 use sumacdrift_replication::{Message, ReplicaId};
-use sumacdrift_scheduling::{Bid, ContextPrefix, Release, Work};
+use sumacdrift_scheduling::{Bid, ContextPrefix, EngineWork, Release};
 use sumacdrift_types::{CallId, EngineName, Generation, NodeId, Problem, ProgramId, ShardId};
 
 use founding::FoundingMessage;
@@ -66,7 +66,7 @@
         /// The engine.
         engine: EngineName,
         /// The call.
-        work: Box<Work>,
+        work: Box<EngineWork>,
     },
 }
 
--- a/crates/proto/src/scheduling.rs
+++ b/crates/proto/src/scheduling.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sumacdrift_scheduling::{Bid, ContextPrefix, Estimate, FinishedWork, Release, Work};
+use sumacdrift_scheduling::{Bid, ContextPrefix, EngineWork, Estimate, FinishedWork, Release};
 use sumacdrift_types::{PrefixDigest, Timestamp};
 
 use crate::basic::{CallMessage, UsageMessage, time_field};
@@ -49,7 +49,7 @@
     pub deadline_micros: Option<u64>,
 }
 
-impl Wire for Work {
+impl Wire for EngineWork {
     type Message = WorkMessage;
 
     fn to_wire(&self) -> WorkMessage {
@@ -66,7 +66,7 @@
     }
 
     fn from_wire(message: WorkMessage) -> Result<Self, DecodeError> {
-        Ok(Work {
+        Ok(EngineWork {
             call: required_value(message.call, "call")?,
             program: name(message.program, "program")?,
             tenant: name(message.tenant, "tenant")?,
@@ -155,8 +155,8 @@
     fn to_wire(&self) -> FinishedMessage {
         FinishedMessage {
             usage: Some(self.usage.to_wire()),
-            first_token_micros: self.first_token.as_micros() as u64,
-            decoding_micros: self.decoding.as_micros() as u64,
+            first_token_micros: self.time_to_first_token.as_micros() as u64,
+            decoding_micros: self.decode_time.as_micros() as u64,
             end: self.end.map(|end| end.to_wire()),
         }
     }
@@ -164,8 +164,8 @@
     fn from_wire(message: FinishedMessage) -> Result<Self, DecodeError> {
         Ok(FinishedWork {
             usage: required_value(message.usage, "usage")?,
-            first_token: Duration::from_micros(message.first_token_micros),
-            decoding: Duration::from_micros(message.decoding_micros),
+            time_to_first_token: Duration::from_micros(message.first_token_micros),
+            decode_time: Duration::from_micros(message.decoding_micros),
             end: optional_value(message.end)?,
         })
     }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::PartHeld;
-use sumacdrift_types::{AllowedRegions, Mechanism, SwitchedOff, Timestamp};
+use sumacdrift_fleet_view::CachedPart;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Mechanism, Timestamp};
 
 use crate::cold::ColdLimit;
 use crate::distance::{PathCost, ZoneDistances};
@@ -27,7 +27,7 @@
 /// A segment of a call's prompt.
 #[allow(missing_docs)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PartNeed {
+pub struct RequiredPart {
     /// See [`sumacdrift_fleet_view::part_key`].
     pub part: u64,
     pub tokens: u64,
@@ -39,10 +39,10 @@
     /// Prefill a prompt and generate a stream of events.
     Stream {
         /// In prompt order.
-        parts: &'a [PartNeed],
+        parts: &'a [RequiredPart],
     },
     /// Answer without streaming.
-    Whole {
+    Buffered {
         /// Typical duration of calls of this kind.
         usual: Duration,
         /// Whether an engine that has served the same key before is faster.
@@ -67,7 +67,7 @@
     /// Engines that must not be chosen.
     pub avoid: &'a [EngineId],
     /// Engines that are chosen only if there is no other.
-    pub rather_not: &'a [EngineId],
+    pub deprioritized: &'a [EngineId],
     /// If set, no other engine may be chosen.
     pub only: Option<&'a EngineId>,
 }
@@ -75,7 +75,7 @@
 /// A chosen engine.
 #[allow(missing_docs)]
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placed {
+pub struct Placement {
     pub engine: EngineId,
     pub address: std::net::SocketAddr,
     pub estimate: Estimate,
@@ -86,7 +86,7 @@
     /// Estimated calls in flight at the engine from all nodes.
     pub running: f64,
     /// Age of the latest peer report; `None` if there is no valid one.
-    pub others_age: Option<Duration>,
+    pub peer_report_age: Option<Duration>,
     /// Number of engines compared; of interchangeable ones only those preferred by the call are.
     pub candidates: usize,
     /// Cost of the runner-up; `None` if there is none.
@@ -97,7 +97,7 @@
 
 /// Inputs shared by all candidates of one selection.
 pub(crate) struct Choice<'a> {
-    pub(crate) off: SwitchedOff,
+    pub(crate) disabled: DisabledMechanisms,
     pub(crate) request: &'a PlacementRequest<'a>,
     pub(crate) distances: &'a ZoneDistances,
     pub(crate) speeds: Speeds,
@@ -105,7 +105,7 @@
     /// Calls that would cross zones if this one does.
     pub(crate) zone_calls: f64,
     pub(crate) peer_loads: PeerLoadEstimator,
-    pub(crate) others_age: Option<Duration>,
+    pub(crate) peer_report_age: Option<Duration>,
     pub(crate) cached: CachedTokens,
     pub(crate) now: Timestamp,
 }
@@ -119,7 +119,7 @@
 
 impl Choice<'_> {
     /// The engine of least cost in the first non-empty tier.
-    pub(crate) fn best<'e>(&self, engines: impl Iterator<Item = &'e Engine>) -> Option<Placed> {
+    pub(crate) fn best<'e>(&self, engines: impl Iterator<Item = &'e Engine>) -> Option<Placement> {
         let candidates: Vec<&Engine> = engines.filter(|engine| self.is_candidate(engine)).collect();
         // In order of preference; the last one is the last resort.
         let tiers: [&dyn Fn(&Engine) -> bool; 4] = [
@@ -140,8 +140,8 @@
 
     fn is_healthy(&self, engine: &Engine) -> bool {
         let peers_see_failures = self.peer_loads.current(&engine.peer_load).is_failing()
-            && self.off.allows(Mechanism::ToldFailures);
-        let is_healthy = engine.is_healthy(self.now) || !self.off.allows(Mechanism::Health);
+            && self.disabled.is_enabled(Mechanism::PeerFailures);
+        let is_healthy = engine.is_healthy(self.now) || !self.disabled.is_enabled(Mechanism::Health);
         is_healthy && !peers_see_failures && self.is_admitted(engine)
     }
 
@@ -153,10 +153,10 @@
     }
 
     fn is_preferred(&self, engine: &Engine) -> bool {
-        !self.request.rather_not.contains(&engine.spec.id)
+        !self.request.deprioritized.contains(&engine.spec.id)
     }
 
-    fn cheapest<'e>(&self, engines: impl Iterator<Item = &'e Engine>) -> Option<Placed> {
+    fn cheapest<'e>(&self, engines: impl Iterator<Item = &'e Engine>) -> Option<Placement> {
         let mut best: Option<Candidate<'_>> = None;
         let mut next_best = f64::INFINITY;
         let mut candidates = 0;
@@ -176,14 +176,14 @@
             }
         }
         let best = best?;
-        Some(Placed {
+        Some(Placement {
             engine: best.engine.spec.id.clone(),
             address: best.engine.spec.address,
             estimate: best.estimate,
             unread_tokens: best.state.unread_tokens as u64,
             tokens_ahead: best.state.unread_tokens + best.state.queued_tokens,
             running: best.state.running,
-            others_age: self.others_age,
+            peer_report_age: self.peer_report_age,
             candidates,
             next_best: next_best.is_finite().then_some(next_best),
             cold: None,
@@ -191,7 +191,7 @@
     }
 
     fn needs_connection(&self, engine: &Engine) -> bool {
-        self.off.allows(Mechanism::OpenConnections) && !(self.request.is_connected)(&engine.spec.id)
+        self.disabled.is_enabled(Mechanism::OpenConnections) && !(self.request.is_connected)(&engine.spec.id)
     }
 
     fn evaluate<'e>(&self, engine: &'e Engine) -> Candidate<'e> {
@@ -202,8 +202,12 @@
             queued_tokens: engine.unread_tokens as f64 + peer_load.unread_tokens,
             running: engine.running as f64 + peer_load.running,
             slots: engine.spec.slots as f64,
-            slowness: if self.off.allows(Mechanism::Slowness) { engine.slowness(self.now) } else { 1.0 },
-            path: if self.off.allows(Mechanism::Zones) {
+            slowness: if self.disabled.is_enabled(Mechanism::Slowness) {
+                engine.slowness(self.now)
+            } else {
+                1.0
+            },
+            path: if self.disabled.is_enabled(Mechanism::Zones) {
                 self.distances.path_to(&engine.spec.zone)
             } else {
                 PathCost::IN_ZONE
@@ -215,12 +219,12 @@
             zone_calls: self.zone_calls,
         };
         let mut estimate = estimate(&state, &work, &self.speeds);
-        if !self.off.allows(Mechanism::OthersDelay) {
+        if !self.disabled.is_enabled(Mechanism::OthersDelay) {
             estimate.imposed_millis = 0.0;
         }
         let jitter_share = match self.request.work {
-            RequestedWork::Whole { is_sticky: true, .. } => AFFINITY_SHARE,
-            RequestedWork::Whole { .. } => WHOLE_JITTER_SHARE,
+            RequestedWork::Buffered { is_sticky: true, .. } => AFFINITY_SHARE,
+            RequestedWork::Buffered { .. } => WHOLE_JITTER_SHARE,
             RequestedWork::Stream { .. } => JITTER_SHARE,
         };
         let permit = if engine.cold_state.is_cold(self.now) { PERMIT_COST_MILLIS } else { 0.0 };
@@ -253,8 +257,8 @@
 
 impl CachedTokens {
     /// Sums the cached tokens of each engine up to the first part that it does not hold completely.
-    pub(crate) fn from_parts(parts: &[PartNeed], known: &[PartHeld]) -> Self {
-        let mut keys: Vec<u32> = known.iter().map(|held| held.engine).collect();
+    pub(crate) fn from_parts(parts: &[RequiredPart], known: &[CachedPart]) -> Self {
+        let mut keys: Vec<u32> = known.iter().map(|cached| cached.engine).collect();
         keys.sort_unstable();
         keys.dedup();
         let engines = keys.into_iter().map(|key| (key, cached_at(key, parts, known))).collect();
@@ -262,8 +266,8 @@
     }
 
     /// Whether any engine caches some of the last part, so that the call continues an earlier one.
-    pub(crate) fn is_continuation(parts: &[PartNeed], known: &[PartHeld]) -> bool {
-        parts.last().is_some_and(|last| known.iter().any(|held| held.part == last.part))
+    pub(crate) fn is_continuation(parts: &[RequiredPart], known: &[CachedPart]) -> bool {
+        parts.last().is_some_and(|last| known.iter().any(|cached| cached.part == last.part))
     }
 
     pub(crate) fn engines(&self) -> impl Iterator<Item = u32> {
@@ -272,18 +276,18 @@
 
     fn unread(&self, engine: u32) -> f64 {
         let found = self.engines.binary_search_by_key(&engine, |(key, _)| *key);
-        let held = found.map_or(0, |index| self.engines[index].1);
-        self.prompt_tokens.saturating_sub(held) as f64
+        let cached = found.map_or(0, |index| self.engines[index].1);
+        self.prompt_tokens.saturating_sub(cached) as f64
     }
 }
 
-fn cached_at(engine: u32, parts: &[PartNeed], known: &[PartHeld]) -> u64 {
+fn cached_at(engine: u32, parts: &[RequiredPart], known: &[CachedPart]) -> u64 {
     let mut total = 0;
     for part in parts {
-        let of_part = known.iter().filter(|held| held.engine == engine && held.part == part.part);
-        let held = of_part.map(|held| u64::from(held.tokens)).max().unwrap_or(0);
-        total += held.min(part.tokens);
-        if held < part.tokens {
+        let of_part = known.iter().filter(|cached| cached.engine == engine && cached.part == part.part);
+        let cached = of_part.map(|cached| u64::from(cached.tokens)).max().unwrap_or(0);
+        total += cached.min(part.tokens);
+        if cached < part.tokens {
             break;
         }
     }
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdLimit {
     /// Warm-up time after a start.
-    pub lasts: Duration,
+    pub warmup: Duration,
     /// Calls a second that a cold engine accepts from all nodes together.
     pub calls_per_second: f64,
 }
@@ -35,10 +35,10 @@
         self.reported_until = (!remaining.is_zero()).then(|| now + remaining);
     }
 
-    /// Assumes that the engine is cold for `lasts` from now on.
-    pub(crate) fn infer(&mut self, lasts: Duration, now: Timestamp) {
+    /// Assumes that the engine is cold for `warmup` from now on.
+    pub(crate) fn infer(&mut self, warmup: Duration, now: Timestamp) {
         if !is_broken(Rule::EvacuatedEnginesComeBackCold) {
-            self.inferred_until = self.inferred_until.max(Some(now + lasts));
+            self.inferred_until = self.inferred_until.max(Some(now + warmup));
         }
     }
 
@@ -66,10 +66,10 @@
 
 /// Validity of a permit, counted from its request: calls sent later would add to those of the next second. Long
 /// enough for an exchange and a new connection within a region, about 10 ms.
-pub const PERMIT_LASTS: Duration = Duration::from_millis(150);
+pub const PERMIT_VALIDITY: Duration = Duration::from_millis(150);
 
 impl Permit {
     pub(crate) fn is_valid(self, now: Timestamp) -> bool {
-        now.since(self.asked) <= PERMIT_LASTS
+        now.since(self.asked) <= PERMIT_VALIDITY
     }
 }
--- a/crates/routing/src/distance.rs
+++ b/crates/routing/src/distance.rs
@@ -82,7 +82,7 @@
         let prior = match self.location.nearness(zone) {
             Nearness::Zone => ZONE_PRIOR_MILLIS,
             Nearness::Region => REGION_PRIOR_MILLIS,
-            Nearness::Elsewhere => REMOTE_PRIOR_MILLIS,
+            Nearness::OtherRegion => REMOTE_PRIOR_MILLIS,
         };
         self.measured.get(zone).copied().unwrap_or(prior)
     }
@@ -92,7 +92,7 @@
         let millis_per_kilobyte = match self.location.nearness(zone) {
             Nearness::Zone => return PathCost::IN_ZONE,
             Nearness::Region => prices.zone_millis_per_kilobyte,
-            Nearness::Elsewhere => prices.region_millis_per_kilobyte,
+            Nearness::OtherRegion => prices.region_millis_per_kilobyte,
         };
         let own_zone = self.round_trip_millis(&self.location.zone);
         let excess = self.round_trip_millis(zone) - own_zone;
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -6,7 +6,7 @@
 
 use sumacdrift_calls::EngineId;
 use sumacdrift_fleet_view::engine_key;
-use sumacdrift_scheduling::{Health, HealthSettings};
+use sumacdrift_scheduling::{CircuitBreaker, CircuitBreakerSettings};
 use sumacdrift_types::Timestamp;
 
 use crate::cold::ColdState;
@@ -29,7 +29,7 @@
     /// Whether the engine is draining and accepts no new work.
     pub is_leaving: bool,
     /// Remaining warm-up time at the time of the report.
-    pub cold_left: Duration,
+    pub warmup_left: Duration,
     /// Sequence number of the engine's report; higher is newer.
     pub report: u64,
 }
@@ -55,7 +55,7 @@
     pub(crate) running: usize,
     /// Prompt tokens of these calls that the engine has not prefilled yet.
     pub(crate) unread_tokens: u64,
-    pub(crate) health: Health,
+    pub(crate) circuit_breaker: CircuitBreaker,
     pub(crate) unusable_since: Option<Timestamp>,
     /// Whether the engine may not even be used as a last resort until its entry reappears.
     is_withdrawn: bool,
@@ -89,15 +89,15 @@
 const OUTCOME_VALIDITY: Duration = Duration::from_secs(2);
 
 impl Engine {
-    pub(crate) fn new(spec: EngineSpec, health: HealthSettings, now: Timestamp) -> Self {
+    pub(crate) fn new(spec: EngineSpec, circuit_breaker: CircuitBreakerSettings, now: Timestamp) -> Self {
         let mut cold_state = ColdState::default();
-        cold_state.record_report(spec.cold_left, now);
+        cold_state.record_report(spec.warmup_left, now);
         Self {
             cold_state,
-            key: engine_key(&spec.id.life_text()),
+            key: engine_key(&spec.id.incarnation_text()),
             running: 0,
             unread_tokens: 0,
-            health: Health::new(health),
+            circuit_breaker: CircuitBreaker::new(circuit_breaker),
             unusable_since: spec.is_leaving.then_some(now),
             is_withdrawn: false,
             slowness: Slowness::nominal(now),
@@ -113,7 +113,7 @@
     pub(crate) fn is_interchangeable(&self, now: Timestamp) -> bool {
         let is_idle = self.running == 0 && self.unread_tokens == 0 && self.peer_load == PeerLoad::default();
         let is_usable = self.unusable_since.is_none() && !self.is_withdrawn && !self.cold_state.is_cold(now);
-        let is_healthy = self.health.is_settled(now) && self.recent_failures(now).is_none();
+        let is_healthy = self.circuit_breaker.is_settled(now) && self.recent_failures(now).is_none();
         let is_ejection_settled = self.ejection.as_ref().is_none_or(|ejection| ejection.is_settled(now));
         is_idle && is_usable && is_healthy && is_ejection_settled && self.slowness.is_nominal(now)
     }
@@ -124,16 +124,16 @@
     }
 
     pub(crate) fn is_healthy(&self, now: Timestamp) -> bool {
-        self.health.allowed(self.spec.slots, now) > 0
+        self.circuit_breaker.allowed(self.spec.slots, now) > 0
     }
 
     /// Records the outcome of one of this node's calls.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
         match outcome {
-            Outcome::Sound => self.health.succeeded(now),
+            Outcome::Sound => self.circuit_breaker.succeeded(now),
             Outcome::Busy => return,
-            Outcome::Faulty | Outcome::Unreachable => self.health.failed(now),
+            Outcome::Faulty | Outcome::Unreachable => self.circuit_breaker.failed(now),
         }
         self.ejection.get_or_insert_default().recent.record(outcome != Outcome::Sound, now);
         let previous = self.last_outcome.map_or(0, |last| last.consecutive_failures);
@@ -209,7 +209,7 @@
             (_, leaving) => leaving,
         };
         if spec.report > self.spec.report {
-            self.cold_state.record_report(spec.cold_left, now);
+            self.cold_state.record_report(spec.warmup_left, now);
         }
         self.spec = spec;
         has_changed
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,9 @@
 //! Selection of the route, the service and the engine of a call.
 //!
-//! [`Routes`] holds the routing table in force, which is never replaced by an older version. [`EngineBook`] tracks
-//! the engines and chooses the one of least cost by [`estimate`], with speeds learned from past answers
+//! [`Routes`] holds the routing table in force, which is never replaced by an older version. [`EngineRegistry`]
+//! tracks the engines and chooses the one of least cost by [`estimate`], with speeds learned from past answers
 //! ([`LearnedSpeeds`]). [`urgency`] orders the queue of a full engine.
 
-mod book;
 mod choice;
 mod cold;
 mod distance;
@@ -17,15 +16,15 @@
 mod outlier;
 mod peer_load;
 mod recent_calls;
+mod registry;
 mod routes;
 mod slowness;
 mod speeds;
 mod table;
 mod urgency;
 
-pub use book::{EngineBook, EngineRoom, EntryChange};
-pub use choice::{PartNeed, Placed, PlacementRequest, RequestedWork};
-pub use cold::{ColdLimit, PERMIT_LASTS, Permit};
+pub use choice::{Placement, PlacementRequest, RequestedWork, RequiredPart};
+pub use cold::{ColdLimit, PERMIT_VALIDITY, Permit};
 pub use distance::{PathCost, TrafficPrices};
 pub use ejection::{FIRST_EJECTION_TIME, MAX_EJECTION_TIME, RECOVERY_TIME};
 pub use engine::{EngineSpec, Outcome};
@@ -37,7 +36,8 @@
     max_ejected,
 };
 pub use recent_calls::CallCounts;
-pub use routes::{Routes, Selected};
-pub use speeds::{LearnedSpeeds, StreamSeen};
+pub use registry::{EngineCapacity, EngineRegistry, EntryChange};
+pub use routes::{Routes, SelectedRoute};
+pub use speeds::{LearnedSpeeds, StreamObservation};
 pub use table::{CallerLimits, Route, RouteTable, ServiceSpec, WeightedService};
-pub use urgency::{UrgencyFacts, urgency};
+pub use urgency::{UrgencyInput, urgency};
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -169,19 +169,19 @@
     /// Mean failure rate of the rest of its service.
     pub rest_rate: f64,
     /// Age of the latest peer report; `None` if only this node's calls were counted.
-    pub news_age: Option<Duration>,
+    pub peer_report_age: Option<Duration>,
 }
 
 /// Kind of a change of an engine's ejection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum OutlierChangeKind {
     /// The engine was ejected.
-    PutAside {
+    Ejected {
         /// Duration of the ejection.
         pause: Duration,
     },
     /// Recovery is complete; the engine gets its full share.
-    BroughtBack,
+    Recovered,
     /// The ejection ended early, as more engines of the service fail than may be ejected.
     Released,
 }
--- a/crates/routing/src/book.rs
+++ b/crates/routing/src/registry.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{EngineLoad, Loads, PartHeld, PartIndex};
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{Location, Mechanism, SwitchedOff, Timestamp};
+use sumacdrift_fleet_view::{CachedPart, EngineLoad, Loads, PartIndex};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{DisabledMechanisms, Location, Mechanism, Timestamp};
 
 mod capacity;
 mod eligibility;
@@ -17,10 +17,12 @@
 
 use engine_table::EngineTable;
 
-pub use capacity::EngineRoom;
+pub use capacity::EngineCapacity;
 pub use incarnations::EntryChange;
 
-use crate::choice::{CALLS_PER_NEW_PROGRAM, CachedTokens, Choice, Placed, PlacementRequest, RequestedWork};
+use crate::choice::{
+    CALLS_PER_NEW_PROGRAM, CachedTokens, Choice, Placement, PlacementRequest, RequestedWork,
+};
 use crate::cold::ColdLimit;
 use crate::distance::{TrafficPrices, ZoneDistances};
 use crate::engine::{Engine, EngineSpec, Outcome};
@@ -28,7 +30,7 @@
 use crate::evacuation::Evacuations;
 use crate::interner::NameInterner;
 use crate::peer_load::{PeerLoad, PeerLoadEstimator, PeerReportTime};
-use crate::speeds::{LearnedSpeeds, StreamSeen};
+use crate::speeds::{LearnedSpeeds, StreamObservation};
 
 /// Limits of the index of prompt parts cached by engines: number of parts, and retention since the last use.
 const MAX_PARTS: usize = 1024;
@@ -38,28 +40,33 @@
 
 /// All engines known to this node.
 #[derive(Debug)]
-pub struct EngineBook {
+pub struct EngineRegistry {
     engines: EngineTable,
     names: NameInterner,
-    health: HealthSettings,
+    circuit_breaker: CircuitBreakerSettings,
     speeds: HashMap<Arc<str>, LearnedSpeeds>,
     peer_reports: PeerReportTime,
     parts: PartIndex,
     evacuations: Evacuations,
     cold_limits: HashMap<Arc<str>, ColdLimit>,
     distances: ZoneDistances,
-    off: SwitchedOff,
+    disabled: DisabledMechanisms,
 }
 
-impl EngineBook {
+impl EngineRegistry {
     /// Creates an empty registry for a node at `location`; mechanisms in `off` are disabled.
-    pub fn new(location: Location, prices: TrafficPrices, off: SwitchedOff, health: HealthSettings) -> Self {
+    pub fn new(
+        location: Location,
+        prices: TrafficPrices,
+        disabled: DisabledMechanisms,
+        circuit_breaker: CircuitBreakerSettings,
+    ) -> Self {
         Self {
-            off,
+            disabled,
             distances: ZoneDistances::new(location, prices),
             engines: EngineTable::default(),
             names: NameInterner::default(),
-            health,
+            circuit_breaker,
             speeds: HashMap::new(),
             peer_reports: PeerReportTime::default(),
             parts: PartIndex::new(MAX_PARTS, PART_RETENTION),
@@ -69,7 +76,7 @@
     }
 
     /// Records how long it took to connect to an engine.
-    pub fn connected(&mut self, id: &EngineId, took: Duration) {
+    pub fn record_connect_time(&mut self, id: &EngineId, took: Duration) {
         if let Some(engine) = self.engines.get(id) {
             self.distances.record_connect_time(&engine.spec.zone, took.as_secs_f64() * 1e3);
         }
@@ -83,7 +90,7 @@
     }
 
     /// Evicts idle engines that have accepted no new work for at least `after`.
-    pub fn forget_gone(&mut self, now: Timestamp, after: Duration) {
+    pub fn evict_gone(&mut self, now: Timestamp, after: Duration) {
         self.engines.remove_where(|engine| {
             let is_long_gone = engine.unusable_since.is_some_and(|since| now.since(since) >= after);
             engine.running == 0 && !engine.spec.is_leaving && is_long_gone
@@ -103,11 +110,11 @@
     }
 
     /// Chooses the engine of least cost; `None` if no engine may serve the call.
-    pub fn choose(&self, request: &PlacementRequest<'_>, now: Timestamp) -> Option<Placed> {
+    pub fn choose(&self, request: &PlacementRequest<'_>, now: Timestamp) -> Option<Placement> {
         let (speeds, events, zone_calls, cached) = match request.work {
             RequestedWork::Stream { parts } => {
                 let holders = parts.iter().flat_map(|part| self.parts.holders(part.part, now));
-                let known: Vec<PartHeld> = match self.off.allows(Mechanism::HeldPrompts) {
+                let known: Vec<CachedPart> = match self.disabled.is_enabled(Mechanism::CachedPrompts) {
                     true => holders.collect(),
                     false => Vec::new(),
                 };
@@ -117,33 +124,36 @@
                     if CachedTokens::is_continuation(parts, &known) { 1.0 } else { CALLS_PER_NEW_PROGRAM };
                 (learned.speeds(), learned.events(), zone_calls, cached)
             }
-            RequestedWork::Whole { usual, .. } => (whole_speeds(usual), 1.0, 1.0, CachedTokens::default()),
+            RequestedWork::Buffered { usual, .. } => (whole_speeds(usual), 1.0, 1.0, CachedTokens::default()),
         };
         let of_service = self.engines.distinct().filter(|engine| &*engine.spec.service == request.service);
-        let others_age = self.peer_reports.age(now);
+        let peer_report_age = self.peer_reports.age(now);
         let interchangeable = self.engines.interchangeable(request.service);
-        let peer_loads =
-            PeerLoadEstimator::new(of_service.map(|engine| engine.peer_load), interchangeable, others_age);
-        let off = self.off;
+        let peer_loads = PeerLoadEstimator::new(
+            of_service.map(|engine| engine.peer_load),
+            interchangeable,
+            peer_report_age,
+        );
+        let disabled = self.disabled;
         let distances = &self.distances;
         let choice = Choice {
-            off,
+            disabled,
             request,
             distances,
             speeds,
             events,
             zone_calls,
             peer_loads,
-            others_age,
+            peer_report_age,
             cached,
             now,
         };
         let is_eligible =
             |engine: &&Engine| self.is_allowed(engine, request) && self.is_available(engine, now);
         let candidates = self.candidates(request, &choice.cached);
-        let mut placed = choice.best(candidates.filter(is_eligible))?;
-        placed.cold = self.cold_limit(&placed.engine, now);
-        Some(placed)
+        let mut placement = choice.best(candidates.filter(is_eligible))?;
+        placement.cold = self.cold_limit(&placement.engine, now);
+        Some(placement)
     }
 
     /// Candidates for a call: all engines with state of their own, and of the interchangeable ones those that the
@@ -153,7 +163,7 @@
         request: &PlacementRequest<'_>,
         cached: &CachedTokens,
     ) -> impl Iterator<Item = &'a Engine> + use<'a> {
-        let named = request.avoid.iter().chain(request.rather_not).chain(request.only);
+        let named = request.avoid.iter().chain(request.deprioritized).chain(request.only);
         let named: Vec<&Engine> = named.filter_map(|id| self.engines.get(id)).collect();
         let excluded: Vec<u32> = named.iter().map(|engine| engine.key).collect();
         let holders = cached.engines().filter_map(|key| self.engines.get(self.engines.id_of(key)?));
@@ -169,29 +179,29 @@
     }
 
     /// Moves engines back to the interchangeable groups if they have no distinguishing state and no open connection.
-    pub fn settle(&mut self, is_connected: impl Fn(&EngineId) -> bool, now: Timestamp) {
+    pub fn regroup_interchangeable(&mut self, is_connected: impl Fn(&EngineId) -> bool, now: Timestamp) {
         self.engines.regroup(|engine| engine.is_interchangeable(now) && !is_connected(&engine.spec.id));
     }
 
     /// Records that a call with `unread_tokens` prompt tokens to prefill was sent to an engine.
-    pub fn sent(&mut self, id: &EngineId, unread_tokens: u64, now: Timestamp) {
+    pub fn record_sent(&mut self, id: &EngineId, unread_tokens: u64, now: Timestamp) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.running += 1;
             engine.record_use(now);
             engine.unread_tokens += unread_tokens;
-            engine.health.sent(now);
+            engine.circuit_breaker.sent(now);
         }
     }
 
     /// Records that a call's prefill ended or was abandoned.
-    pub fn was_read(&mut self, id: &EngineId, unread_tokens: u64) {
+    pub fn record_prefilled(&mut self, id: &EngineId, unread_tokens: u64) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.unread_tokens = engine.unread_tokens.saturating_sub(unread_tokens);
         }
     }
 
     /// Records the outcome of a call; returns whether the engine has become unhealthy by it.
-    pub fn ended(&mut self, id: &EngineId, outcome: Outcome, now: Timestamp) -> bool {
+    pub fn record_outcome(&mut self, id: &EngineId, outcome: Outcome, now: Timestamp) -> bool {
         let Some(engine) = self.engines.get_mut(id) else { return false };
         let was_healthy = engine.is_healthy(now);
         engine.record_outcome(outcome, now);
@@ -199,7 +209,7 @@
     }
 
     /// Updates the speeds of a service and the slowness of an engine from a stream that succeeded.
-    pub fn observe_stream(&mut self, id: &EngineId, seen: &StreamSeen, now: Timestamp) {
+    pub fn observe_stream(&mut self, id: &EngineId, seen: &StreamObservation, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else { return };
         let learned = self.speeds.entry(Arc::clone(&engine.spec.service)).or_default();
         let slowness = learned.observe(seen);
@@ -216,20 +226,20 @@
     }
 
     /// Records that an engine has cached a prompt part, as seen by this node.
-    pub fn holds(&mut self, held: PartHeld, now: Timestamp) {
-        self.parts.note(held, now);
+    pub fn record_cached_part(&mut self, cached: CachedPart, now: Timestamp) {
+        self.parts.record(cached, now);
     }
 
     /// Records that an engine has cached a prompt part, as reported by peers.
-    pub fn others_hold(&mut self, held: PartHeld, now: Timestamp) {
-        if self.off.allows(Mechanism::ToldPrompts) {
-            self.parts.note(held, now);
+    pub fn record_peer_cached_part(&mut self, cached: CachedPart, now: Timestamp) {
+        if self.disabled.is_enabled(Mechanism::PeerPrompts) {
+            self.parts.record(cached, now);
         }
     }
 
     /// Replaces the peer load of all engines; an engine without an entry in `loads` has none.
-    pub fn others_told(&mut self, loads: &Loads, now: Timestamp) {
-        if !self.off.allows(Mechanism::ToldLoads) {
+    pub fn apply_peer_loads(&mut self, loads: &Loads, now: Timestamp) {
+        if !self.disabled.is_enabled(Mechanism::PeerLoads) {
             return;
         }
         let reported: HashMap<u32, &EngineLoad> =
@@ -251,7 +261,7 @@
     }
 
     /// Age of the latest peer report; `None` if there is no valid one.
-    pub fn others_age(&self, now: Timestamp) -> Option<Duration> {
+    pub fn peer_report_age(&self, now: Timestamp) -> Option<Duration> {
         self.peer_reports.age(now)
     }
 
@@ -267,7 +277,7 @@
 
     /// This node's load report for its peers. Lists engines where it has calls in flight or recent failures, and
     /// those where peers reported failures.
-    pub fn loads(&self, now: Timestamp) -> Loads {
+    pub fn load_report(&self, now: Timestamp) -> Loads {
         let number = |count: u64| u32::try_from(count).unwrap_or(u32::MAX);
         let load_of = |engine: &Engine| {
             let failed = engine.recent_failures(now);
