--- a/crates/routing/src/book/eligibility.rs
+++ b/crates/routing/src/registry/eligibility.rs
@@ -8,15 +8,15 @@
 use sumacdrift_mutants::{Rule, is_broken};
 use sumacdrift_types::{Mechanism, Timestamp};
 
-use super::EngineBook;
+use super::EngineRegistry;
 use crate::choice::PlacementRequest;
 use crate::cold::{ColdLimit, Permit};
 use crate::engine::Engine;
 use crate::evacuation::{Evacuation, EvacuationChange};
 
-impl EngineBook {
+impl EngineRegistry {
     /// Applies the begin of a zone's evacuation; returns the change, if any.
-    pub fn evacuate(&mut self, evacuation: Evacuation, now: Timestamp) -> Option<EvacuationChange> {
+    pub fn begin_evacuation(&mut self, evacuation: Evacuation, now: Timestamp) -> Option<EvacuationChange> {
         self.evacuations.begin(evacuation, now)
     }
 
@@ -49,10 +49,10 @@
         let limit_of =
             |engine: &Engine| cold_limits.get(&engine.spec.service).filter(|_| *engine.spec.zone == *zone);
         let ids = self.engines.ids();
-        let cold = ids.filter_map(|id| Some((id.clone(), limit_of(self.engines.get(id)?)?.lasts)));
-        for (id, lasts) in cold.collect::<Vec<_>>() {
+        let cold = ids.filter_map(|id| Some((id.clone(), limit_of(self.engines.get(id)?)?.warmup)));
+        for (id, warmup) in cold.collect::<Vec<_>>() {
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.cold_state.infer(lasts, now);
+                engine.cold_state.infer(warmup, now);
             }
         }
     }
@@ -75,14 +75,14 @@
     }
 
     /// Records that no further permit for an engine is granted to this node before `until`.
-    pub fn cold_refused(&mut self, id: &EngineId, until: Timestamp) {
+    pub fn record_permit_denial(&mut self, id: &EngineId, until: Timestamp) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.cold_state.record_denial(until);
         }
     }
 
     /// Earliest time to request a permit again for any engine that is excluded only because it is cold.
-    pub fn cold_again_at(&self, request: &PlacementRequest<'_>, now: Timestamp) -> Option<Timestamp> {
+    pub fn next_permit_at(&self, request: &PlacementRequest<'_>, now: Timestamp) -> Option<Timestamp> {
         let of_service = self.engines.distinct().filter(|engine| &*engine.spec.service == request.service);
         let could_serve = of_service.filter(|engine| {
             self.is_allowed(engine, request)
@@ -97,7 +97,7 @@
     /// the last engine left.
     pub(super) fn is_allowed(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
         let zone = &engine.spec.zone;
-        let region = self.distances.location().places.region_of(zone);
+        let region = self.distances.location().topology.region_of(zone);
         let is_in_region = request.regions.allow(region) || is_broken(Rule::WorkStaysInItsRegions);
         is_in_region && !self.is_evacuated(zone)
     }
@@ -111,7 +111,7 @@
         if !self.is_cold(engine, now) {
             return true;
         }
-        self.off.allows(Mechanism::ColdPermits) && engine.cold_state.next_permit_at(now).is_none()
+        self.disabled.is_enabled(Mechanism::ColdPermits) && engine.cold_state.next_permit_at(now).is_none()
     }
 
     /// Number of evacuated zones.
--- a/crates/routing/src/book/incarnations.rs
+++ b/crates/routing/src/registry/incarnations.rs
@@ -9,8 +9,8 @@
 use sumacdrift_calls::EngineId;
 use sumacdrift_types::Timestamp;
 
-use crate::book::EngineBook;
 use crate::engine::{Engine, EngineSpec};
+use crate::registry::EngineRegistry;
 
 /// Shorter outages of the directory give no grace period to engines that are missing.
 const MIN_OUTAGE: Duration = Duration::from_secs(1);
@@ -21,16 +21,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryChange {
     /// Neither presence nor availability changed.
-    Nothing,
+    Unchanged,
     /// Presence or availability of the engine changed.
     Changed,
     /// A known engine restarted; state of its earlier incarnation does not apply.
-    StartedAgain,
+    Restarted,
     /// An earlier incarnation than the known one is leaving.
-    EarlierLifeLeaves,
+    EarlierIncarnationLeaving,
 }
 
-impl EngineBook {
+impl EngineRegistry {
     /// Applies an engine's directory entry.
     pub fn upsert(&mut self, mut spec: EngineSpec, now: Timestamp) -> EntryChange {
         self.names.intern(&mut spec.service);
@@ -44,22 +44,22 @@
             .get(&spec.id)
             .is_some_and(|engine| engine.group_position.is_some() && engine.spec == spec)
         {
-            return EntryChange::Nothing;
+            return EntryChange::Unchanged;
         }
         if spec.id.start() < known.start() {
             return self.apply_earlier_incarnation(&spec, &known, now);
         }
         if let Some(engine) = self.engines.get_mut(&spec.id) {
             let has_changed = engine.update(spec, now);
-            return if has_changed { EntryChange::Changed } else { EntryChange::Nothing };
+            return if has_changed { EntryChange::Changed } else { EntryChange::Unchanged };
         }
         self.for_each_incarnation(&spec.id, |earlier| earlier.supersede(now));
         self.insert(spec, now);
-        EntryChange::StartedAgain
+        EntryChange::Restarted
     }
 
     fn insert(&mut self, spec: EngineSpec, now: Timestamp) {
-        self.engines.insert(Engine::new(spec, self.health, now));
+        self.engines.insert(Engine::new(spec, self.circuit_breaker, now));
     }
 
     /// An earlier incarnation never replaces a later one. If it is leaving, the engine gets no new work until the
@@ -73,8 +73,8 @@
         let is_leaving = spec.is_leaving || !spec.id.start().is_known();
         let engine = self.engines.get_mut(known).filter(|_| is_leaving);
         match engine.map(|engine| engine.retire(now)) {
-            Some(true) => EntryChange::EarlierLifeLeaves,
-            Some(false) | None => EntryChange::Nothing,
+            Some(true) => EntryChange::EarlierIncarnationLeaving,
+            Some(false) | None => EntryChange::Unchanged,
         }
     }
 
--- a/crates/routing/src/book/outliers.rs
+++ b/crates/routing/src/registry/outliers.rs
@@ -5,17 +5,17 @@
 use sumacdrift_calls::EngineId;
 use sumacdrift_types::{Mechanism, Timestamp};
 
-use super::EngineBook;
+use super::EngineRegistry;
 use crate::ejection::EjectionState;
 use crate::engine::Engine;
 use crate::outlier::{EjectionStage, EngineSample, OutlierChange, OutlierChangeKind, Verdict, evaluate};
 use crate::recent_calls::CallCounts;
 
-impl EngineBook {
+impl EngineRegistry {
     /// Ejects outliers and ends ejections that are over; returns the changes. To be called after a failure, after a
     /// peer report and periodically.
-    pub fn judge_outliers(&mut self, now: Timestamp) -> Vec<OutlierChange> {
-        if !self.off.allows(Mechanism::OutlierEjection) {
+    pub fn update_ejections(&mut self, now: Timestamp) -> Vec<OutlierChange> {
+        if !self.disabled.is_enabled(Mechanism::OutlierEjection) {
             return Vec::new();
         }
         let services = self.services_to_evaluate(now);
@@ -23,7 +23,7 @@
     }
 
     /// Number of engines that are ejected or recovering.
-    pub fn engines_put_aside(&self, now: Timestamp) -> usize {
+    pub fn ejected_engines(&self, now: Timestamp) -> usize {
         self.engines
             .distinct()
             .filter(|engine| {
@@ -74,9 +74,9 @@
         let all = ids.into_iter().zip(samples.iter().zip(evaluations));
         let changes = all.filter_map(|(engine, (sample, evaluation))| {
             let kind = self.apply_verdict(&engine, evaluation.verdict, samples.len(), now)?;
-            let news_age = self.peer_reports.age(now);
+            let peer_report_age = self.peer_reports.age(now);
             let (calls, rest_rate) = (sample.calls, evaluation.rest_rate);
-            Some(OutlierChange { engine, kind, calls, rest_rate, news_age })
+            Some(OutlierChange { engine, kind, calls, rest_rate, peer_report_age })
         });
         changes.collect()
     }
@@ -107,13 +107,13 @@
         match verdict {
             Verdict::Eject => {
                 let pause = ejection.get_or_insert_default().eject(engines_in_use, now);
-                Some(OutlierChangeKind::PutAside { pause })
+                Some(OutlierChangeKind::Ejected { pause })
             }
             Verdict::Release => {
                 ejection.as_mut()?.exempt(now);
                 Some(OutlierChangeKind::Released)
             }
-            Verdict::Keep => ejection.as_mut()?.take_recovery(now).then_some(OutlierChangeKind::BroughtBack),
+            Verdict::Keep => ejection.as_mut()?.take_recovery(now).then_some(OutlierChangeKind::Recovered),
         }
     }
 }
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -11,7 +11,7 @@
 /// The route and service selected for a call.
 #[allow(missing_docs)]
 #[derive(Debug, Clone)]
-pub struct Selected {
+pub struct SelectedRoute {
     pub route: Arc<Route>,
     pub service: ServiceSpec,
     /// Version of the configuration.
@@ -41,7 +41,7 @@
     }
 
     /// Selects the route and service of a call; `None` if no route matches or no table is in force.
-    pub fn select(&mut self, host: &str, path: &str) -> Option<Selected> {
+    pub fn select(&mut self, host: &str, path: &str) -> Option<SelectedRoute> {
         let table = Arc::clone(self.table.as_ref()?);
         let route = table.find(host, path)?;
         let service = self.next_service(route)?;
@@ -51,7 +51,7 @@
             tokens_per_event: 0,
             cold: None,
         });
-        Some(Selected { route: Arc::clone(route), service, version: table.version })
+        Some(SelectedRoute { route: Arc::clone(route), service, version: table.version })
     }
 
     /// Picks the next service by weight.
--- a/crates/routing/src/speeds.rs
+++ b/crates/routing/src/speeds.rs
@@ -23,7 +23,7 @@
 
 /// Observation of one streamed answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StreamSeen {
+pub struct StreamObservation {
     /// From sending the call to the first event.
     pub first_millis: f64,
     /// From the first event to the last.
@@ -57,7 +57,7 @@
 
 impl LearnedSpeeds {
     /// Learns from an answer that succeeded; returns the ratio of its time to the expected time.
-    pub fn observe(&mut self, seen: &StreamSeen) -> f64 {
+    pub fn observe(&mut self, seen: &StreamObservation) -> f64 {
         let gaps = seen.events.saturating_sub(1) as f64;
         let expected_first = self.read.at(seen.tokens_ahead);
         let expected_rest = self.event.at(seen.running) * gaps;
--- a/crates/routing/src/urgency.rs
+++ b/crates/routing/src/urgency.rs
@@ -19,7 +19,7 @@
 
 /// Inputs of [`urgency`].
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct UrgencyFacts {
+pub struct UrgencyInput {
     /// Rank of the priority class; 0 is highest.
     pub priority: u32,
     /// Equal for all turns of a program.
@@ -27,16 +27,16 @@
     /// Time until the program's deadline; `None` if it has none.
     pub program_time_left: Option<Duration>,
     /// Usual duration of turns of this kind; `None` if none was seen yet.
-    pub usual_time: Option<Duration>,
+    pub expected_duration: Option<Duration>,
 }
 
 /// Returns the urgency from 0 (served first) to 9 (served last).
-pub fn urgency(facts: &UrgencyFacts) -> u8 {
-    let needed = facts.usual_time.unwrap_or_default().mul_f64(MIN_TIME_SHARE);
-    if facts.program_time_left.is_some_and(|left| left <= needed) {
+pub fn urgency(input: &UrgencyInput) -> u8 {
+    let needed = input.expected_duration.unwrap_or_default().mul_f64(MIN_TIME_SHARE);
+    if input.program_time_left.is_some_and(|left| left <= needed) {
         return PAST_DEADLINE;
     }
-    let group = (facts.program_hash % GROUPS) as u8;
-    let class = u8::from(facts.priority > 0);
+    let group = (input.program_hash % GROUPS) as u8;
+    let class = u8::from(input.priority > 0);
     FIRST_GROUP + class + group * GROUP_STEP
 }
--- a/crates/routing/tests/engine_fixtures/mod.rs
+++ b/crates/routing/tests/engine_fixtures/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: engines, a book of them and plain requests.
+//! Fixtures: engines, a registry of them and plain requests.
 #![allow(dead_code)]
 
 use std::sync::LazyLock;
@@ -6,10 +6,10 @@
 
 use sumacdrift_calls::EngineId;
 use sumacdrift_routing::{
-    EngineBook, EngineSpec, PartNeed, Permit, PlacementRequest, RequestedWork, TrafficPrices,
+    EngineRegistry, EngineSpec, Permit, PlacementRequest, RequestedWork, RequiredPart, TrafficPrices,
 };
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{AllowedRegions, Location, Mechanism, SwitchedOff, Timestamp};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, Mechanism, Timestamp};
 
 pub static ANYWHERE: LazyLock<AllowedRegions> = LazyLock::new(AllowedRegions::default);
 pub const NOW: Timestamp = Timestamp(5_000_000);
@@ -22,23 +22,24 @@
         zone: zone.into(),
         slots: 4,
         is_leaving: false,
-        cold_left: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         report: 1,
     }
 }
 
-pub fn book(engines: &[(&str, &str)]) -> EngineBook {
-    book_without(&[], engines)
+pub fn registry(engines: &[(&str, &str)]) -> EngineRegistry {
+    registry_without(&[], engines)
 }
 
-pub fn book_without(off: &[Mechanism], engines: &[(&str, &str)]) -> EngineBook {
-    let health = HealthSettings { failures_to_open: 2, ..HealthSettings::default() };
-    let off: SwitchedOff = off.iter().copied().collect();
-    let mut book = EngineBook::new(Location::in_zone("z1"), TrafficPrices::default(), off, health);
+pub fn registry_without(disabled: &[Mechanism], engines: &[(&str, &str)]) -> EngineRegistry {
+    let health = CircuitBreakerSettings { failure_threshold: 2, ..CircuitBreakerSettings::default() };
+    let disabled: DisabledMechanisms = disabled.iter().copied().collect();
+    let mut registry =
+        EngineRegistry::new(Location::in_zone("z1"), TrafficPrices::default(), disabled, health);
     for (id, zone) in engines {
-        book.upsert(spec(id, zone), NOW);
+        registry.upsert(spec(id, zone), NOW);
     }
-    book
+    registry
 }
 
 /// A non-streaming call.
@@ -47,24 +48,24 @@
         service: "s",
         regions: &ANYWHERE,
         key: 1,
-        work: RequestedWork::Whole { usual: Duration::from_millis(40), is_sticky: false },
+        work: RequestedWork::Buffered { usual: Duration::from_millis(40), is_sticky: false },
         kilobytes: 1.0,
         is_connected: &|_| true,
         avoid,
-        rather_not: &[],
+        deprioritized: &[],
         only: None,
     }
 }
 
-pub fn chosen(book: &EngineBook, request: &PlacementRequest<'_>, now: Timestamp) -> Option<String> {
-    book.choose(request, now).map(|placed| placed.engine.to_string())
+pub fn chosen(registry: &EngineRegistry, request: &PlacementRequest<'_>, now: Timestamp) -> Option<String> {
+    registry.choose(request, now).map(|placement| placement.engine.to_string())
 }
 
 /// A turn of the program with affinity key `key`.
-pub fn turn(key: u64, parts: &[PartNeed]) -> PlacementRequest<'_> {
+pub fn turn(key: u64, parts: &[RequiredPart]) -> PlacementRequest<'_> {
     PlacementRequest { key, work: RequestedWork::Stream { parts }, ..request(&[]) }
 }
 
-pub fn may_send(book: &EngineBook, engine: &str, permit: Option<Permit>, now: Timestamp) -> bool {
-    book.may_send(&EngineId::new(engine), permit, now)
+pub fn may_send(registry: &EngineRegistry, engine: &str, permit: Option<Permit>, now: Timestamp) -> bool {
+    registry.may_send(&EngineId::new(engine), permit, now)
 }
--- a/crates/routing/tests/engines.rs
+++ b/crates/routing/tests/engines.rs
@@ -4,26 +4,26 @@
 
 use std::time::Duration;
 
-use engine_fixtures::{NOW, book, book_without, chosen, request, spec, turn};
+use engine_fixtures::{NOW, chosen, registry, registry_without, request, spec, turn};
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{EngineLoad, Loads, PartHeld, engine_key};
-use sumacdrift_routing::{EngineBook, EngineSpec, EntryChange, Outcome, PartNeed, PlacementRequest};
+use sumacdrift_fleet_view::{CachedPart, EngineLoad, Loads, engine_key};
+use sumacdrift_routing::{EngineRegistry, EngineSpec, EntryChange, Outcome, PlacementRequest, RequiredPart};
 use sumacdrift_types::Mechanism;
 
 /// A prompt of a shared part and a part of its own.
-fn prompt(own_tokens: u64) -> [PartNeed; 2] {
-    [PartNeed { part: 1, tokens: 2_500 }, PartNeed { part: 2, tokens: own_tokens }]
+fn prompt(own_tokens: u64) -> [RequiredPart; 2] {
+    [RequiredPart { part: 1, tokens: 2_500 }, RequiredPart { part: 2, tokens: own_tokens }]
 }
 
-fn held(part: u64, engine: &str, tokens: u32) -> PartHeld {
-    PartHeld { part, engine: engine_key(engine), tokens }
+fn cached(part: u64, engine: &str, tokens: u32) -> CachedPart {
+    CachedPart { part, engine: engine_key(engine), tokens }
 }
 
 #[test]
 fn programs_spread_over_engines_and_each_prefers_one() {
-    let book = book(&[("a", "z1"), ("b", "z1"), ("c", "z1")]);
+    let registry = registry(&[("a", "z1"), ("b", "z1"), ("c", "z1")]);
     let prompt = prompt(100);
-    let engine_for = |program: u64| chosen(&book, &turn(program, &prompt), NOW);
+    let engine_for = |program: u64| chosen(&registry, &turn(program, &prompt), NOW);
     assert_eq!(engine_for(1), engine_for(1));
     let engines: std::collections::BTreeSet<_> = (0..50).map(engine_for).collect();
     assert_eq!(engines.len(), 3);
@@ -31,73 +31,79 @@
 
 #[test]
 fn turn_goes_to_the_engine_that_caches_its_prompt_in_any_zone() {
-    let mut book = book(&[("a", "z1"), ("b", "z2"), ("c", "z1")]);
-    book.holds(held(1, "b", 2_500), NOW);
-    book.holds(held(2, "b", 8_000), NOW);
+    let mut registry = registry(&[("a", "z1"), ("b", "z2"), ("c", "z1")]);
+    registry.record_cached_part(cached(1, "b", 2_500), NOW);
+    registry.record_cached_part(cached(2, "b", 8_000), NOW);
     let prompt = prompt(8_300);
-    let placed = book.choose(&turn(1, &prompt), NOW).expect("an engine is available");
-    assert_eq!(placed.engine.as_str(), "b");
-    assert_eq!(placed.unread_tokens, 300);
+    let placement = registry.choose(&turn(1, &prompt), NOW).expect("an engine is available");
+    assert_eq!(placement.engine.as_str(), "b");
+    assert_eq!(placement.unread_tokens, 300);
 }
 
 /// Tokens cached behind a gap have to be prefilled again.
 #[test]
 fn cached_part_counts_only_after_all_parts_before_it() {
-    let mut book = book(&[("a", "z1")]);
-    book.holds(held(2, "a", 8_000), NOW);
+    let mut registry = registry(&[("a", "z1")]);
+    registry.record_cached_part(cached(2, "a", 8_000), NOW);
     let prompt = prompt(8_000);
-    assert_eq!(book.choose(&turn(1, &prompt), NOW).expect("an engine is available").unread_tokens, 10_500);
+    assert_eq!(
+        registry.choose(&turn(1, &prompt), NOW).expect("an engine is available").unread_tokens,
+        10_500
+    );
 }
 
 #[test]
 fn turn_leaves_an_overloaded_engine_despite_its_cache() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
-    book.holds(held(1, "a", 2_500), NOW);
-    book.holds(held(1, "b", 2_500), NOW);
-    book.holds(held(2, "a", 1_000), NOW);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
+    registry.record_cached_part(cached(1, "a", 2_500), NOW);
+    registry.record_cached_part(cached(1, "b", 2_500), NOW);
+    registry.record_cached_part(cached(2, "a", 1_000), NOW);
     let prompt = prompt(1_200);
-    assert_eq!(chosen(&book, &turn(1, &prompt), NOW).as_deref(), Some("a"));
+    assert_eq!(chosen(&registry, &turn(1, &prompt), NOW).as_deref(), Some("a"));
     for _ in 0..20 {
-        book.sent(&EngineId::new("a"), 3_000, NOW);
+        registry.record_sent(&EngineId::new("a"), 3_000, NOW);
     }
-    assert_eq!(chosen(&book, &turn(1, &prompt), NOW).as_deref(), Some("b"));
+    assert_eq!(chosen(&registry, &turn(1, &prompt), NOW).as_deref(), Some("b"));
 }
 
 #[test]
 fn peer_load_counts_until_it_expires() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
     let loads = |engine| Loads {
         engines: vec![EngineLoad { engine: engine_key(engine), running: 4, ..EngineLoad::default() }],
     };
     for (busy, free) in [("a", "b"), ("b", "a")] {
-        book.others_told(&loads(busy), NOW);
+        registry.apply_peer_loads(&loads(busy), NOW);
         for key in 0..20 {
-            assert_eq!(chosen(&book, &PlacementRequest { key, ..request(&[]) }, NOW).as_deref(), Some(free));
+            assert_eq!(
+                chosen(&registry, &PlacementRequest { key, ..request(&[]) }, NOW).as_deref(),
+                Some(free)
+            );
         }
     }
     let later = NOW + Duration::from_secs(5);
-    assert_eq!(book.choose(&request(&[]), later).expect("an engine is available").running, 0.0);
+    assert_eq!(registry.choose(&request(&[]), later).expect("an engine is available").running, 0.0);
 }
 
 #[test]
 fn prefilled_prompts_no_longer_count_as_queued() {
-    let mut book = book(&[("a", "z1")]);
+    let mut registry = registry(&[("a", "z1")]);
     let engine = EngineId::new("a");
-    book.sent(&engine, 5_000, NOW);
-    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine is available").tokens_ahead, 5_000.0);
-    book.was_read(&engine, 5_000);
-    assert_eq!(book.choose(&request(&[]), NOW).expect("an engine is available").tokens_ahead, 0.0);
-    book.ended(&engine, Outcome::Sound, NOW);
-    assert!(book.loads(NOW).engines.is_empty());
+    registry.record_sent(&engine, 5_000, NOW);
+    assert_eq!(registry.choose(&request(&[]), NOW).expect("an engine is available").tokens_ahead, 5_000.0);
+    registry.record_prefilled(&engine, 5_000);
+    assert_eq!(registry.choose(&request(&[]), NOW).expect("an engine is available").tokens_ahead, 0.0);
+    registry.record_outcome(&engine, Outcome::Sound, NOW);
+    assert!(registry.load_report(NOW).engines.is_empty());
 }
 
 #[test]
 fn slow_engine_is_avoided_and_retried_later() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
     for _ in 0..30 {
-        book.observe_whole(&EngineId::new("a"), 5.0, NOW);
+        registry.observe_whole(&EngineId::new("a"), 5.0, NOW);
     }
-    let engine_at = |now, key| chosen(&book, &PlacementRequest { key, ..request(&[]) }, now);
+    let engine_at = |now, key| chosen(&registry, &PlacementRequest { key, ..request(&[]) }, now);
     assert!((0..20).all(|key| engine_at(NOW, key).as_deref() == Some("b")));
     let later = NOW + Duration::from_secs(120);
     assert!((0..20).any(|key| engine_at(later, key).as_deref() == Some("a")));
@@ -105,175 +111,177 @@
 
 #[test]
 fn open_connection_breaks_ties() {
-    let book = book(&[("a", "z1"), ("b", "z1")]);
+    let registry = registry(&[("a", "z1"), ("b", "z1")]);
     for open in ["a", "b"] {
         let is_connected = |engine: &EngineId| engine.as_str() == open;
         let request = PlacementRequest { is_connected: &is_connected, ..request(&[]) };
-        assert_eq!(chosen(&book, &request, NOW).as_deref(), Some(open));
+        assert_eq!(chosen(&registry, &request, NOW).as_deref(), Some(open));
     }
 }
 
 #[test]
 fn own_zone_is_preferred_until_it_is_busier() {
-    let mut book = book(&[("near", "z1"), ("far", "z2")]);
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("near"));
+    let mut registry = registry(&[("near", "z1"), ("far", "z2")]);
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("near"));
     for _ in 0..4 {
-        book.sent(&EngineId::new("near"), 0, NOW);
+        registry.record_sent(&EngineId::new("near"), 0, NOW);
     }
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("far"));
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("far"));
 }
 
 #[test]
 fn draining_engine_gets_no_calls_and_does_not_rejoin() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
-    book.upsert(EngineSpec { is_leaving: true, report: 2, ..spec("a", "z1") }, NOW);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
+    registry.upsert(EngineSpec { is_leaving: true, report: 2, ..spec("a", "z1") }, NOW);
     let delayed = EngineSpec { report: 3, ..spec("a", "z1") };
-    assert_eq!(book.upsert(delayed, NOW), EntryChange::Nothing);
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("b"));
-    assert_eq!(book.usable("s", NOW), 1);
+    assert_eq!(registry.upsert(delayed, NOW), EntryChange::Unchanged);
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("b"));
+    assert_eq!(registry.usable("s", NOW), 1);
 }
 
 #[test]
 fn reordered_report_is_ignored() {
-    let mut book = book(&[("a", "z1")]);
-    book.upsert(EngineSpec { report: 9, is_leaving: true, ..spec("a", "z1") }, NOW);
-    assert_eq!(book.upsert(EngineSpec { report: 8, ..spec("a", "z1") }, NOW), EntryChange::Nothing);
+    let mut registry = registry(&[("a", "z1")]);
+    registry.upsert(EngineSpec { report: 9, is_leaving: true, ..spec("a", "z1") }, NOW);
+    assert_eq!(registry.upsert(EngineSpec { report: 8, ..spec("a", "z1") }, NOW), EntryChange::Unchanged);
 }
 
 #[test]
 fn removed_engine_is_a_last_resort_for_a_short_time() {
-    let mut book = book(&[("a", "z1")]);
-    book.remove(&EngineId::new("a"), NOW);
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("a"));
-    assert_eq!(chosen(&book, &request(&[]), NOW + Duration::from_secs(2)), None);
+    let mut registry = registry(&[("a", "z1")]);
+    registry.remove(&EngineId::new("a"), NOW);
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("a"));
+    assert_eq!(chosen(&registry, &request(&[]), NOW + Duration::from_secs(2)), None);
 }
 
 #[test]
 fn reappearing_engine_is_used_again() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
-    book.remove(&EngineId::new("a"), NOW);
-    assert_eq!(book.upsert(EngineSpec { report: 2, ..spec("a", "z1") }, NOW), EntryChange::Changed);
-    assert_eq!(book.usable("s", NOW), 2);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
+    registry.remove(&EngineId::new("a"), NOW);
+    assert_eq!(registry.upsert(EngineSpec { report: 2, ..spec("a", "z1") }, NOW), EntryChange::Changed);
+    assert_eq!(registry.usable("s", NOW), 2);
 }
 
 #[test]
 fn engine_with_two_failures_is_avoided_if_there_is_another() {
-    let mut book = book(&[("a", "z1"), ("b", "z2")]);
+    let mut registry = registry(&[("a", "z1"), ("b", "z2")]);
     let near = EngineId::new("a");
     for failures in 1..=2 {
-        book.sent(&near, 0, NOW);
-        assert_eq!(book.ended(&near, Outcome::Faulty, NOW), failures == 2);
+        registry.record_sent(&near, 0, NOW);
+        assert_eq!(registry.record_outcome(&near, Outcome::Faulty, NOW), failures == 2);
     }
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("b"));
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("b"));
     let other = [EngineId::new("b")];
-    assert_eq!(chosen(&book, &request(&other), NOW).as_deref(), Some("a"));
+    assert_eq!(chosen(&registry, &request(&other), NOW).as_deref(), Some("a"));
 }
 
 #[test]
 fn listing_removes_missing_engines() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
-    book.replace_all(vec![spec("b", "z1")], Duration::ZERO, NOW);
-    assert_eq!(book.usable("s", NOW), 1);
-    book.forget_gone(NOW + Duration::from_secs(60), Duration::from_secs(30));
-    assert!(book.spec(&EngineId::new("a")).is_none());
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
+    registry.replace_all(vec![spec("b", "z1")], Duration::ZERO, NOW);
+    assert_eq!(registry.usable("s", NOW), 1);
+    registry.evict_gone(NOW + Duration::from_secs(60), Duration::from_secs(30));
+    assert!(registry.spec(&EngineId::new("a")).is_none());
 }
 
 /// Guards against sending all calls to the few engines that have reported again after a directory outage.
 #[test]
 fn missing_engines_get_a_grace_period_after_a_directory_outage() {
-    let mut book = book(&[("a", "z1"), ("b", "z1"), ("c", "z1")]);
-    book.replace_all(vec![spec("b", "z1")], Duration::from_secs(4), NOW);
-    assert_eq!(book.usable("s", NOW), 3);
-    book.upsert(EngineSpec { report: 2, ..spec("a", "z1") }, NOW + Duration::from_secs(1));
-    assert_eq!(book.usable("s", NOW + Duration::from_secs(2)), 2);
-    assert!(book.remove(&EngineId::new("a"), NOW + Duration::from_secs(2)));
-    assert_eq!(book.usable("s", NOW + Duration::from_secs(2)), 1);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1"), ("c", "z1")]);
+    registry.replace_all(vec![spec("b", "z1")], Duration::from_secs(4), NOW);
+    assert_eq!(registry.usable("s", NOW), 3);
+    registry.upsert(EngineSpec { report: 2, ..spec("a", "z1") }, NOW + Duration::from_secs(1));
+    assert_eq!(registry.usable("s", NOW + Duration::from_secs(2)), 2);
+    assert!(registry.remove(&EngineId::new("a"), NOW + Duration::from_secs(2)));
+    assert_eq!(registry.usable("s", NOW + Duration::from_secs(2)), 1);
 }
 
 #[test]
 fn short_directory_outage_gives_no_grace_period() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
-    book.replace_all(vec![spec("b", "z1")], Duration::from_millis(200), NOW);
-    assert_eq!(book.usable("s", NOW), 1);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
+    registry.replace_all(vec![spec("b", "z1")], Duration::from_millis(200), NOW);
+    assert_eq!(registry.usable("s", NOW), 1);
 }
 
 #[test]
 fn engine_that_failed_the_call_is_chosen_again_only_if_alone() {
-    let book = book(&[("a", "z1"), ("b", "z2")]);
+    let registry = registry(&[("a", "z1"), ("b", "z2")]);
     let failed = [EngineId::new("a")];
-    let retry = PlacementRequest { rather_not: &failed, ..request(&[]) };
-    assert_eq!(chosen(&book, &retry, NOW).as_deref(), Some("b"));
+    let retry = PlacementRequest { deprioritized: &failed, ..request(&[]) };
+    assert_eq!(chosen(&registry, &retry, NOW).as_deref(), Some("b"));
     let other = [EngineId::new("b")];
-    let alone = PlacementRequest { rather_not: &failed, ..request(&other) };
-    assert_eq!(chosen(&book, &alone, NOW).as_deref(), Some("a"));
+    let alone = PlacementRequest { deprioritized: &failed, ..request(&other) };
+    assert_eq!(chosen(&registry, &alone, NOW).as_deref(), Some("a"));
 }
 
 #[test]
-fn switched_off_mechanisms_do_not_affect_the_choice() {
+fn disabled_mechanisms_do_not_affect_the_choice() {
     let engines = [("a", "z1"), ("b", "z2")];
     let prompt = prompt(8_000);
-    let mut without_cache = book_without(&[Mechanism::HeldPrompts, Mechanism::Zones], &engines);
-    let mut with_all = book(&engines);
-    for book in [&mut without_cache, &mut with_all] {
-        book.holds(held(1, "b", 2_500), NOW);
-        book.holds(held(2, "b", 8_000), NOW);
+    let mut without_cache = registry_without(&[Mechanism::CachedPrompts, Mechanism::Zones], &engines);
+    let mut with_all = registry(&engines);
+    for registry in [&mut without_cache, &mut with_all] {
+        registry.record_cached_part(cached(1, "b", 2_500), NOW);
+        registry.record_cached_part(cached(2, "b", 8_000), NOW);
     }
-    let engine_for = |book: &EngineBook, key| chosen(book, &turn(key, &prompt), NOW);
+    let engine_for = |registry: &EngineRegistry, key| chosen(registry, &turn(key, &prompt), NOW);
     assert!((0..20).all(|key| engine_for(&with_all, key).as_deref() == Some("b")));
     let without_cache_engines: std::collections::BTreeSet<_> =
         (0..20).map(|key| engine_for(&without_cache, key)).collect();
     assert_eq!(without_cache_engines.len(), 2);
-    let mut without_peers = book_without(&[Mechanism::ToldLoads, Mechanism::ToldPrompts], &engines);
-    without_peers.others_told(
+    let mut without_peers = registry_without(&[Mechanism::PeerLoads, Mechanism::PeerPrompts], &engines);
+    without_peers.apply_peer_loads(
         &Loads {
             engines: vec![EngineLoad { engine: engine_key("a"), running: 50, ..EngineLoad::default() }],
         },
         NOW,
     );
-    without_peers.others_hold(held(1, "b", 2_500), NOW);
+    without_peers.record_peer_cached_part(cached(1, "b", 2_500), NOW);
     assert_eq!(engine_for(&without_peers, 1).as_deref(), Some("a"));
 }
 
 /// Guards against every node finding out about a failing engine through failures of its own calls.
 #[test]
 fn engine_failing_for_peers_is_avoided_before_an_own_failure() {
-    let mut book = book(&[("a", "z1"), ("b", "z1")]);
+    let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
     let report = |failed, served| {
         let load = EngineLoad { engine: engine_key("a"), failed, served, ..EngineLoad::default() };
         Loads { engines: vec![load] }
     };
-    let is_avoided = |book: &EngineBook, now| {
+    let is_avoided = |registry: &EngineRegistry, now| {
         let mut keys = 0..20;
-        keys.all(|key| chosen(book, &PlacementRequest { key, ..request(&[]) }, now).as_deref() == Some("b"))
+        keys.all(|key| {
+            chosen(registry, &PlacementRequest { key, ..request(&[]) }, now).as_deref() == Some("b")
+        })
     };
-    book.others_told(&report(3, 0), NOW);
-    assert!(is_avoided(&book, NOW));
+    registry.apply_peer_loads(&report(3, 0), NOW);
+    assert!(is_avoided(&registry, NOW));
     // Neither a few failures among many successes nor an expired report counts.
-    book.others_told(&report(3, 20), NOW);
-    assert!(!is_avoided(&book, NOW));
-    book.others_told(&report(3, 0), NOW);
-    assert!(!is_avoided(&book, NOW + Duration::from_secs(3)));
+    registry.apply_peer_loads(&report(3, 20), NOW);
+    assert!(!is_avoided(&registry, NOW));
+    registry.apply_peer_loads(&report(3, 0), NOW);
+    assert!(!is_avoided(&registry, NOW + Duration::from_secs(3)));
     let other = [EngineId::new("b")];
-    assert_eq!(chosen(&book, &request(&other), NOW).as_deref(), Some("a"));
+    assert_eq!(chosen(&registry, &request(&other), NOW).as_deref(), Some("a"));
 }
 
 #[test]
 fn failures_are_reported_until_a_call_succeeds() {
-    let mut book = book(&[("a", "z1")]);
+    let mut registry = registry(&[("a", "z1")]);
     let engine = EngineId::new("a");
     for expected in 1..=2 {
-        book.sent(&engine, 0, NOW);
-        book.ended(&engine, Outcome::Faulty, NOW);
-        assert_eq!(book.loads(NOW).engines[0].failed, expected);
+        registry.record_sent(&engine, 0, NOW);
+        registry.record_outcome(&engine, Outcome::Faulty, NOW);
+        assert_eq!(registry.load_report(NOW).engines[0].failed, expected);
     }
-    assert!(book.loads(NOW + Duration::from_secs(3)).engines.is_empty());
-    book.sent(&engine, 0, NOW);
-    book.ended(&engine, Outcome::Sound, NOW);
+    assert!(registry.load_report(NOW + Duration::from_secs(3)).engines.is_empty());
+    registry.record_sent(&engine, 0, NOW);
+    registry.record_outcome(&engine, Outcome::Sound, NOW);
     // Consecutive failures are reset; the counts of recent calls stay until they expire.
     let counts = EngineLoad { recent_ended: 3, recent_failed: 2, ..EngineLoad::default() };
-    assert_eq!(book.loads(NOW).engines, [EngineLoad { engine: engine_key("a"), ..counts }]);
-    assert!(book.loads(NOW + Duration::from_secs(3)).engines.is_empty());
+    assert_eq!(registry.load_report(NOW).engines, [EngineLoad { engine: engine_key("a"), ..counts }]);
+    assert!(registry.load_report(NOW + Duration::from_secs(3)).engines.is_empty());
     let load = EngineLoad { engine: engine_key("a"), failed: 1, ..EngineLoad::default() };
-    book.others_told(&Loads { engines: vec![load] }, NOW);
-    assert_eq!(book.loads(NOW).engines[0].served, 1);
+    registry.apply_peer_loads(&Loads { engines: vec![load] }, NOW);
+    assert_eq!(registry.load_report(NOW).engines[0].served, 1);
 }
--- a/crates/routing/tests/estimate.rs
+++ b/crates/routing/tests/estimate.rs
@@ -1,7 +1,7 @@
 //! The cost model of a call and learning of its speeds.
 
 use sumacdrift_routing::{
-    CallWork, EngineState, FitBounds, LearnedSpeeds, LineFit, PathCost, Speeds, StreamSeen, estimate,
+    CallWork, EngineState, FitBounds, LearnedSpeeds, LineFit, PathCost, Speeds, StreamObservation, estimate,
 };
 
 /// 40 tokens of prefill per millisecond.
@@ -100,8 +100,8 @@
     assert!(fit.slope() >= 0.001 && fit.intercept() >= 0.0);
 }
 
-fn seen(tokens_ahead: f64, running: f64, slowness: f64) -> StreamSeen {
-    StreamSeen {
+fn seen(tokens_ahead: f64, running: f64, slowness: f64) -> StreamObservation {
+    StreamObservation {
         first_millis: (19.0 + tokens_ahead * 0.026) * slowness,
         rest_millis: 10.0 * (14.0 + 0.46 * running) * slowness,
         events: 11,
--- a/crates/routing/tests/evacuation.rs
+++ b/crates/routing/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use engine_fixtures::{NOW, book, chosen, may_send, request};
+use engine_fixtures::{NOW, chosen, may_send, registry, request};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,60 +17,60 @@
 
 #[test]
 fn evacuated_zone_gets_no_calls_until_the_end() {
-    let mut book = book(&[("a", "z1"), ("b", "z2")]);
-    let change = book.evacuate(evacuation("z1", 5), NOW).expect("a change");
+    let mut registry = registry(&[("a", "z1"), ("b", "z2")]);
+    let change = registry.begin_evacuation(evacuation("z1", 5), NOW).expect("a change");
     assert!(change.is_evacuated);
     for key in 0..20 {
-        assert_eq!(chosen(&book, &PlacementRequest { key, ..request(&[]) }, NOW).as_deref(), Some("b"));
+        assert_eq!(chosen(&registry, &PlacementRequest { key, ..request(&[]) }, NOW).as_deref(), Some("b"));
     }
-    assert!(!may_send(&book, "a", None, NOW));
-    assert!(!book.end_evacuation("z1", 5, NOW).expect("a change").is_evacuated);
-    assert!(may_send(&book, "a", None, NOW));
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("a"), "the own zone is preferred");
+    assert!(!may_send(&registry, "a", None, NOW));
+    assert!(!registry.end_evacuation("z1", 5, NOW).expect("a change").is_evacuated);
+    assert!(may_send(&registry, "a", None, NOW));
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("a"), "the own zone is preferred");
 }
 
 #[test]
 fn engine_added_to_an_evacuated_zone_gets_no_calls() {
-    let mut book = book(&[("a", "z1")]);
-    book.evacuate(evacuation("z1", 5), NOW);
-    book.upsert(engine_fixtures::spec("late", "z1"), NOW);
-    assert_eq!(chosen(&book, &request(&[]), NOW), None);
+    let mut registry = registry(&[("a", "z1")]);
+    registry.begin_evacuation(evacuation("z1", 5), NOW);
+    registry.upsert(engine_fixtures::spec("late", "z1"), NOW);
+    assert_eq!(chosen(&registry, &request(&[]), NOW), None);
 }
 
 #[test]
 fn evacuated_engine_is_not_chosen_even_if_no_other_may_be() {
-    let mut book = book(&[("a", "z1"), ("b", "z2")]);
-    book.evacuate(evacuation("z1", 5), NOW);
+    let mut registry = registry(&[("a", "z1"), ("b", "z2")]);
+    registry.begin_evacuation(evacuation("z1", 5), NOW);
     let only = EngineId::new("a");
-    assert_eq!(chosen(&book, &PlacementRequest { only: Some(&only), ..request(&[]) }, NOW), None);
-    book.evacuate(evacuation("z2", 6), NOW);
-    assert_eq!(chosen(&book, &request(&[]), NOW), None);
+    assert_eq!(chosen(&registry, &PlacementRequest { only: Some(&only), ..request(&[]) }, NOW), None);
+    registry.begin_evacuation(evacuation("z2", 6), NOW);
+    assert_eq!(chosen(&registry, &request(&[]), NOW), None);
 }
 
 #[test]
 fn stale_report_neither_begins_nor_ends_an_evacuation() {
-    let mut book = book(&[("a", "z1")]);
-    book.evacuate(evacuation("z1", 8), NOW);
-    assert_eq!(book.end_evacuation("z1", 7, NOW), None);
-    assert!(book.set_evacuations(Vec::new(), 7, NOW).is_empty(), "a stale listing");
-    assert!(!may_send(&book, "a", None, NOW));
-    assert_eq!(book.set_evacuations(Vec::new(), 9, NOW).len(), 1);
-    assert_eq!(book.evacuate(evacuation("z1", 8), NOW), None);
-    assert!(book.set_evacuations(vec![evacuation("z1", 8)], 8, NOW).is_empty(), "a stale listing");
-    assert!(may_send(&book, "a", None, NOW));
+    let mut registry = registry(&[("a", "z1")]);
+    registry.begin_evacuation(evacuation("z1", 8), NOW);
+    assert_eq!(registry.end_evacuation("z1", 7, NOW), None);
+    assert!(registry.set_evacuations(Vec::new(), 7, NOW).is_empty(), "a stale listing");
+    assert!(!may_send(&registry, "a", None, NOW));
+    assert_eq!(registry.set_evacuations(Vec::new(), 9, NOW).len(), 1);
+    assert_eq!(registry.begin_evacuation(evacuation("z1", 8), NOW), None);
+    assert!(registry.set_evacuations(vec![evacuation("z1", 8)], 8, NOW).is_empty(), "a stale listing");
+    assert!(may_send(&registry, "a", None, NOW));
 }
 
 /// Eviction of remembered zones must not end an evacuation.
 #[test]
 fn only_ended_evacuations_are_evicted() {
-    let mut book = book(&[("a", "z1")]);
-    book.evacuate(evacuation("z1", 1), NOW);
+    let mut registry = registry(&[("a", "z1")]);
+    registry.begin_evacuation(evacuation("z1", 1), NOW);
     for zone in 0..3_000_u64 {
         let name = format!("z1-{zone}");
-        book.evacuate(evacuation(&name, 2 + zone * 2), NOW);
-        book.end_evacuation(&name, 3 + zone * 2, NOW);
+        registry.begin_evacuation(evacuation(&name, 2 + zone * 2), NOW);
+        registry.end_evacuation(&name, 3 + zone * 2, NOW);
     }
-    assert!(!may_send(&book, "a", None, NOW));
+    assert!(!may_send(&registry, "a", None, NOW));
 }
 
 /// Reports with their revision; a listing also has the revision of the evacuation listed, if any.
@@ -98,18 +98,18 @@
         reports.shuffle(&mut random);
         reports.truncate(random.random_range(1..=reports.len()));
         let newest = reports.iter().map(|(at, _)| *at).max().expect("at least one report");
-        let mut book = book(&[("a", "z1")]);
+        let mut registry = registry(&[("a", "z1")]);
         for (_, report) in reports {
             match report {
-                Report::Begin(at) => drop(book.evacuate(evacuation("z1", at), NOW)),
-                Report::End(at) => drop(book.end_evacuation("z1", at, NOW)),
+                Report::Begin(at) => drop(registry.begin_evacuation(evacuation("z1", at), NOW)),
+                Report::End(at) => drop(registry.end_evacuation("z1", at, NOW)),
                 Report::Listing(at, begun) => {
                     let all = begun.map(|begun| evacuation("z1", begun)).into_iter().collect();
-                    book.set_evacuations(all, at, NOW);
+                    registry.set_evacuations(all, at, NOW);
                 }
             }
         }
         let is_evacuated = newest % 20 >= 10;
-        assert_eq!(!may_send(&book, "a", None, NOW), is_evacuated, "seed {seed}, newest {newest}");
+        assert_eq!(!may_send(&registry, "a", None, NOW), is_evacuated, "seed {seed}, newest {newest}");
     }
 }
--- a/crates/routing/tests/interchangeable_engines.rs
+++ b/crates/routing/tests/interchangeable_engines.rs
@@ -6,26 +6,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use engine_fixtures::{ANYWHERE, NOW, book, spec};
+use engine_fixtures::{ANYWHERE, NOW, registry, spec};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{EngineLoad, Loads, PartHeld, engine_key};
-use sumacdrift_routing::{EngineBook, Outcome, PartNeed, PlacementRequest, RequestedWork};
+use sumacdrift_fleet_view::{CachedPart, EngineLoad, Loads, engine_key};
+use sumacdrift_routing::{EngineRegistry, Outcome, PlacementRequest, RequestedWork, RequiredPart};
 use sumacdrift_types::Timestamp;
 
 const ENGINES: usize = 60;
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
-const PARTS: [PartNeed; 2] = [PartNeed { part: 1, tokens: 2_560 }, PartNeed { part: 2, tokens: 900 }];
+const PARTS: [RequiredPart; 2] =
+    [RequiredPart { part: 1, tokens: 2_560 }, RequiredPart { part: 2, tokens: 900 }];
 
 fn name(engine: usize) -> String {
     format!("e{engine}")
 }
 
-/// Two books with the same input, of which only one groups interchangeable engines.
+/// Two registries with the same input, of which only one groups interchangeable engines.
 struct BookPair {
-    ungrouped: EngineBook,
-    grouped: EngineBook,
+    ungrouped: EngineRegistry,
+    grouped: EngineRegistry,
     connected: BTreeSet<EngineId>,
     running: Vec<EngineId>,
     now: Timestamp,
@@ -34,42 +35,42 @@
 impl BookPair {
     fn new() -> Self {
         let mut pair = Self {
-            ungrouped: book(&[]),
-            grouped: book(&[]),
+            ungrouped: registry(&[]),
+            grouped: registry(&[]),
             connected: BTreeSet::new(),
             running: Vec::new(),
             now: NOW,
         };
         for engine in 0..ENGINES {
-            pair.apply_to_both(|book, now| {
-                book.upsert(spec(&name(engine), ZONES[engine % ZONES.len()]), now);
+            pair.apply_to_both(|registry, now| {
+                registry.upsert(spec(&name(engine), ZONES[engine % ZONES.len()]), now);
             });
         }
         pair
     }
 
-    fn apply_to_both(&mut self, change: impl Fn(&mut EngineBook, Timestamp)) {
+    fn apply_to_both(&mut self, change: impl Fn(&mut EngineRegistry, Timestamp)) {
         change(&mut self.ungrouped, self.now);
         change(&mut self.grouped, self.now);
     }
 
     fn settle(&mut self) {
         let connected = &self.connected;
-        self.grouped.settle(|id| connected.contains(id), self.now);
+        self.grouped.regroup_interchangeable(|id| connected.contains(id), self.now);
     }
 
-    /// Chooses in both books and sends the call to the chosen engine.
+    /// Chooses in both registries and sends the call to the chosen engine.
     fn place_call(&mut self, random: &mut ChaCha8Rng) {
         let work = match random.random_range(0..3) {
             0 => RequestedWork::Stream { parts: &PARTS },
-            sticky => RequestedWork::Whole { usual: Duration::from_millis(40), is_sticky: sticky == 1 },
+            sticky => RequestedWork::Buffered { usual: Duration::from_millis(40), is_sticky: sticky == 1 },
         };
         let drawn = |random: &mut ChaCha8Rng, most: usize| -> Vec<EngineId> {
             (0..random.random_range(0..most))
                 .map(|_| EngineId::new(&name(random.random_range(0..ENGINES))))
                 .collect()
         };
-        let (avoid, rather_not) = (drawn(random, 4), drawn(random, 3));
+        let (avoid, deprioritized) = (drawn(random, 4), drawn(random, 3));
         let only = EngineId::new(&name(random.random_range(0..ENGINES)));
         let connected = &self.connected;
         let request = PlacementRequest {
@@ -80,19 +81,22 @@
             kilobytes: 8.0,
             is_connected: &|id| connected.contains(id),
             avoid: &avoid,
-            rather_not: &rather_not,
+            deprioritized: &deprioritized,
             only: (random.random_range(0..20) == 0).then_some(&only),
         };
         let expected = self.ungrouped.choose(&request, self.now);
         let chosen = self.grouped.choose(&request, self.now);
-        let engine =
-            |placed: &Option<sumacdrift_routing::Placed>| placed.as_ref().map(|placed| placed.engine.clone());
+        let engine = |placement: &Option<sumacdrift_routing::Placement>| {
+            placement.as_ref().map(|placement| placement.engine.clone())
+        };
         assert_eq!(engine(&chosen), engine(&expected), "{request_key}", request_key = request.key);
-        let Some(placed) = chosen else { return };
-        assert_eq!(Some(placed.estimate), expected.map(|expected| expected.estimate));
-        self.apply_to_both(|book, now| book.sent(&placed.engine, placed.unread_tokens, now));
-        self.connected.insert(placed.engine.clone());
-        self.running.push(placed.engine);
+        let Some(placement) = chosen else { return };
+        assert_eq!(Some(placement.estimate), expected.map(|expected| expected.estimate));
+        self.apply_to_both(|registry, now| {
+            registry.record_sent(&placement.engine, placement.unread_tokens, now)
+        });
+        self.connected.insert(placement.engine.clone());
+        self.running.push(placement.engine);
     }
 
     fn end_call(&mut self, random: &mut ChaCha8Rng) {
@@ -101,11 +105,11 @@
         }
         let engine = self.running.swap_remove(random.random_range(0..self.running.len()));
         let outcome = if random.random_range(0..6) == 0 { Outcome::Faulty } else { Outcome::Sound };
-        self.apply_to_both(|book, now| {
-            book.was_read(&engine, u64::MAX);
-            book.ended(&engine, outcome, now);
-            let held = PartHeld { part: 1, engine: engine_key(engine.as_str()), tokens: 2_560 };
-            book.holds(held, now);
+        self.apply_to_both(|registry, now| {
+            registry.record_prefilled(&engine, u64::MAX);
+            registry.record_outcome(&engine, outcome, now);
+            let cached = CachedPart { part: 1, engine: engine_key(engine.as_str()), tokens: 2_560 };
+            registry.record_cached_part(cached, now);
         });
     }
 
@@ -117,25 +121,25 @@
             ..EngineLoad::default()
         };
         let loads = Loads { engines: (0..random.random_range(0..12)).map(|_| load(random)).collect() };
-        self.apply_to_both(|book, now| book.others_told(&loads, now));
+        self.apply_to_both(|registry, now| registry.apply_peer_loads(&loads, now));
     }
 
     fn change_entry(&mut self, random: &mut ChaCha8Rng) {
         let engine = random.random_range(0..ENGINES);
         let mut changed = spec(&name(engine), ZONES[engine % ZONES.len()]);
         match random.random_range(0..3) {
-            0 => self.apply_to_both(|book, now| {
-                book.remove(&changed.id, now);
+            0 => self.apply_to_both(|registry, now| {
+                registry.remove(&changed.id, now);
             }),
             1 => {
-                changed.cold_left = Duration::from_millis(300);
+                changed.warmup_left = Duration::from_millis(300);
                 changed.report = random.random();
-                self.apply_to_both(|book, now| {
-                    book.upsert(changed.clone(), now);
+                self.apply_to_both(|registry, now| {
+                    registry.upsert(changed.clone(), now);
                 });
             }
-            _ => self.apply_to_both(|book, now| {
-                book.upsert(changed.clone(), now);
+            _ => self.apply_to_both(|registry, now| {
+                registry.upsert(changed.clone(), now);
             }),
         }
     }
@@ -166,16 +170,16 @@
 fn candidate_count_is_independent_of_fleet_size() {
     const IN_USE: usize = 20;
     let candidates = [250, 500, 1_000, 2_000].map(|engines| {
-        let mut book = book(&[]);
+        let mut registry = registry(&[]);
         for engine in 0..engines {
-            book.upsert(spec(&name(engine), ZONES[engine % ZONES.len()]), NOW);
+            registry.upsert(spec(&name(engine), ZONES[engine % ZONES.len()]), NOW);
         }
-        book.settle(|_| false, NOW);
+        registry.regroup_interchangeable(|_| false, NOW);
         for engine in 0..IN_USE {
-            book.sent(&EngineId::new(&name(engine)), 100, NOW);
+            registry.record_sent(&EngineId::new(&name(engine)), 100, NOW);
         }
         let request = engine_fixtures::request(&[]);
-        book.choose(&request, NOW).expect("an engine is available").candidates
+        registry.choose(&request, NOW).expect("an engine is available").candidates
     });
     assert!(candidates.iter().all(|count| *count == candidates[0]), "{candidates:?}");
 }
--- a/crates/routing/tests/mutants.rs
+++ b/crates/routing/tests/mutants.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use engine_fixtures::{NOW, book, chosen, may_send, request, spec};
+use engine_fixtures::{NOW, chosen, may_send, registry, request, spec};
 use sumacdrift_calls::EngineId;
 use sumacdrift_mutants::{Rule, with_broken};
-use sumacdrift_routing::{ColdLimit, EngineBook, EngineSpec, Evacuation, PlacementRequest};
+use sumacdrift_routing::{ColdLimit, EngineRegistry, EngineSpec, Evacuation, PlacementRequest};
 use sumacdrift_types::{AllowedRegions, RegionName};
 
 fn evacuation(revision: u64) -> Evacuation {
@@ -18,42 +18,42 @@
 }
 
 fn chooses_evacuated_engine() -> bool {
-    let mut book = book(&[("a", "z1")]);
-    book.evacuate(evacuation(5), NOW);
-    chosen(&book, &request(&[]), NOW).is_some()
+    let mut registry = registry(&[("a", "z1")]);
+    registry.begin_evacuation(evacuation(5), NOW);
+    chosen(&registry, &request(&[]), NOW).is_some()
 }
 
 fn applies_stale_listing() -> bool {
-    let mut book = book(&[("a", "z1")]);
-    book.evacuate(evacuation(8), NOW);
-    book.set_evacuations(Vec::new(), 7, NOW);
-    may_send(&book, "a", None, NOW)
+    let mut registry = registry(&[("a", "z1")]);
+    registry.begin_evacuation(evacuation(8), NOW);
+    registry.set_evacuations(Vec::new(), 7, NOW);
+    may_send(&registry, "a", None, NOW)
 }
 
-fn cold_book() -> EngineBook {
-    let mut book = book(&[("a", "z1")]);
-    let limit = ColdLimit { lasts: Duration::from_secs(3), calls_per_second: 26.0 };
-    book.set_cold_limits(HashMap::from([(Arc::from("s"), limit)]));
-    book
+fn cold_registry() -> EngineRegistry {
+    let mut registry = registry(&[("a", "z1")]);
+    let limit = ColdLimit { warmup: Duration::from_secs(3), calls_per_second: 26.0 };
+    registry.set_cold_limits(HashMap::from([(Arc::from("s"), limit)]));
+    registry
 }
 
 fn treats_returning_engine_as_warm() -> bool {
-    let mut book = cold_book();
-    book.evacuate(evacuation(5), NOW);
-    book.end_evacuation("z1", 6, NOW);
-    book.cold_limit(&EngineId::new("a"), NOW).is_none()
+    let mut registry = cold_registry();
+    registry.begin_evacuation(evacuation(5), NOW);
+    registry.end_evacuation("z1", 6, NOW);
+    registry.cold_limit(&EngineId::new("a"), NOW).is_none()
 }
 
 fn sends_to_cold_engine_without_permit() -> bool {
-    let mut book = cold_book();
-    book.upsert(EngineSpec { cold_left: Duration::from_secs(3), report: 2, ..spec("a", "z1") }, NOW);
-    may_send(&book, "a", None, NOW)
+    let mut registry = cold_registry();
+    registry.upsert(EngineSpec { warmup_left: Duration::from_secs(3), report: 2, ..spec("a", "z1") }, NOW);
+    may_send(&registry, "a", None, NOW)
 }
 
 fn serves_call_outside_its_regions() -> bool {
-    let west = AllowedRegions::only([RegionName::new("west").expect("a valid region name")]);
-    let book = book(&[("a", "z1")]);
-    chosen(&book, &PlacementRequest { regions: &west, ..request(&[]) }, NOW).is_some()
+    let west = AllowedRegions::new([RegionName::new("west").expect("a valid region name")]);
+    let registry = registry(&[("a", "z1")]);
+    chosen(&registry, &PlacementRequest { regions: &west, ..request(&[]) }, NOW).is_some()
 }
 
 #[test]
--- a/crates/routing/tests/outliers.rs
+++ b/crates/routing/tests/outliers.rs
@@ -6,14 +6,14 @@
 
 use std::time::Duration;
 
-use simulated_fleet::{Build, Result, Scenario, Work, at, edge_book, engine_id, simulate};
+use simulated_fleet::{Build, Result, Scenario, Work, at, edge_registry, engine_id, simulate};
 use sumacdrift_calls::{EngineId, EngineStart};
 use sumacdrift_fleet_view::{EngineLoad, Loads, engine_key};
 use sumacdrift_routing::{
-    CallCounts, EjectionStage, EngineBook, EngineSample, EngineSpec, FIRST_EJECTION_TIME, MAX_EJECTION_TIME,
-    MIN_SAMPLE, Outcome, OutlierChangeKind, RECOVERY_TIME, Verdict, evaluate, max_ejected,
+    CallCounts, EjectionStage, EngineRegistry, EngineSample, EngineSpec, FIRST_EJECTION_TIME,
+    MAX_EJECTION_TIME, MIN_SAMPLE, Outcome, OutlierChangeKind, RECOVERY_TIME, Verdict, evaluate, max_ejected,
 };
-use sumacdrift_types::{Mechanism, SwitchedOff, Timestamp};
+use sumacdrift_types::{DisabledMechanisms, Mechanism, Timestamp};
 
 const EDGES: usize = 50;
 const ENGINES: usize = 12;
@@ -191,8 +191,8 @@
             .iter()
             .filter(|(edge, _, _)| *edge == 0)
             .filter_map(|(_, _, change)| match change.kind {
-                OutlierChangeKind::PutAside { pause, .. } => Some(pause),
-                OutlierChangeKind::BroughtBack | OutlierChangeKind::Released => None,
+                OutlierChangeKind::Ejected { pause, .. } => Some(pause),
+                OutlierChangeKind::Recovered | OutlierChangeKind::Released => None,
             })
             .collect();
         println!("seed {seed}: failures {} -> {}, pauses {pauses:?}", without.failures(), with.failures());
@@ -237,7 +237,7 @@
 }
 
 fn is_ejected(change: &sumacdrift_routing::OutlierChange) -> bool {
-    matches!(change.kind, OutlierChangeKind::PutAside { .. })
+    matches!(change.kind, OutlierChangeKind::Ejected { .. })
 }
 
 fn counts(ended: u32, failed: u32) -> CallCounts {
@@ -297,7 +297,7 @@
 /// A peer report of recent calls at one engine.
 fn peer_report(engine: &EngineId, ended: u32, failed: u32) -> Loads {
     let load = EngineLoad {
-        engine: engine_key(&engine.life_text()),
+        engine: engine_key(&engine.incarnation_text()),
         recent_ended: ended,
         recent_failed: failed,
         ..EngineLoad::default()
@@ -305,81 +305,83 @@
     Loads { engines: vec![load] }
 }
 
-fn run_call(book: &mut EngineBook, engine: &EngineId, outcome: Outcome, now: Timestamp) {
-    book.sent(engine, 0, now);
-    book.ended(engine, outcome, now);
+fn run_call(registry: &mut EngineRegistry, engine: &EngineId, outcome: Outcome, now: Timestamp) {
+    registry.record_sent(engine, 0, now);
+    registry.record_outcome(engine, outcome, now);
 }
 
-/// A book of five engines, each of which has just served a call.
-fn book_in_use(now: Timestamp) -> EngineBook {
-    let mut book = edge_book(5, 6, SwitchedOff::default());
+/// A registry of five engines, each of which has just served a call.
+fn registry_in_use(now: Timestamp) -> EngineRegistry {
+    let mut registry = edge_registry(5, 6, DisabledMechanisms::default());
     for engine in 0..5 {
-        run_call(&mut book, &engine_id(engine), Outcome::Sound, now);
+        run_call(&mut registry, &engine_id(engine), Outcome::Sound, now);
     }
-    book
+    registry
 }
 
 #[test]
 fn peer_counts_are_added_to_own_counts_until_they_expire() {
     let now = at(10_000);
     let faulty = engine_id(0);
-    let mut book = book_in_use(now);
-    book.others_told(&peer_report(&faulty, 20, 16), now);
-    assert!(book.judge_outliers(now).is_empty(), "nodes without failures have not reported yet");
+    let mut registry = registry_in_use(now);
+    registry.apply_peer_loads(&peer_report(&faulty, 20, 16), now);
+    assert!(registry.update_ejections(now).is_empty(), "nodes without failures have not reported yet");
     let now = now + Duration::from_millis(400);
-    book.others_told(&peer_report(&faulty, 100, 40), now);
-    let changes = book.judge_outliers(now);
+    registry.apply_peer_loads(&peer_report(&faulty, 100, 40), now);
+    let changes = registry.update_ejections(now);
     assert_eq!(changes.len(), 1);
     assert_eq!((&changes[0].engine, changes[0].calls), (&faulty, counts(101, 40)));
-    assert_eq!(changes[0].news_age, Some(Duration::ZERO));
+    assert_eq!(changes[0].peer_report_age, Some(Duration::ZERO));
     assert!(is_ejected(&changes[0]));
     // The report has expired two seconds later.
-    let mut book = book_in_use(now);
+    let mut registry = registry_in_use(now);
     for millis in [0, 400] {
-        book.others_told(&peer_report(&faulty, 100, 40), now + Duration::from_millis(millis));
+        registry.apply_peer_loads(&peer_report(&faulty, 100, 40), now + Duration::from_millis(millis));
     }
     let later = now + Duration::from_millis(2_400);
     for engine in 0..5 {
-        run_call(&mut book, &engine_id(engine), Outcome::Sound, later);
+        run_call(&mut registry, &engine_id(engine), Outcome::Sound, later);
     }
-    assert!(book.judge_outliers(later).is_empty());
+    assert!(registry.update_ejections(later).is_empty());
     // Own calls are enough for an ejection if there are enough of them.
     for number in 0..30 {
         let outcome = if number % 3 == 0 { Outcome::Faulty } else { Outcome::Sound };
-        run_call(&mut book, &faulty, outcome, later);
+        run_call(&mut registry, &faulty, outcome, later);
     }
-    let changes = book.judge_outliers(later);
-    assert_eq!(changes.iter().map(|change| change.news_age).collect::<Vec<_>>(), [None]);
-    assert_eq!(book.engines_put_aside(later), 1);
+    let changes = registry.update_ejections(later);
+    assert_eq!(changes.iter().map(|change| change.peer_report_age).collect::<Vec<_>>(), [None]);
+    assert_eq!(registry.ejected_engines(later), 1);
 }
 
-/// A book with two equal reports, apart by the time that all nodes need to report, of failures at its first engines.
-fn book_with_reported_failures(
-    off: SwitchedOff,
+/// A registry with two equal reports, apart by the time that all nodes need to report, of failures at its first
+/// engines.
+fn registry_with_reported_failures(
+    disabled: DisabledMechanisms,
     engines: usize,
     failing: usize,
     now: Timestamp,
-) -> EngineBook {
-    let mut book = edge_book(engines, 6, off);
+) -> EngineRegistry {
+    let mut registry = edge_registry(engines, 6, disabled);
     let engines = (0..failing).flat_map(|engine| peer_report(&engine_id(engine), 100, 60).engines);
     let in_use = (failing..failing + 4).map(|engine| EngineLoad {
-        engine: engine_key(&engine_id(engine).life_text()),
+        engine: engine_key(&engine_id(engine).incarnation_text()),
         running: 1,
         ..EngineLoad::default()
     });
     let loads = Loads { engines: engines.chain(in_use).collect() };
     for at in [now, now + Duration::from_millis(400)] {
-        book.others_told(&loads, at);
+        registry.apply_peer_loads(&loads, at);
     }
-    book
+    registry
 }
 
 #[test]
 fn unused_engines_do_not_raise_the_cap() {
     let changes = |failing| {
         let later = at(10_400);
-        let mut book = book_with_reported_failures(SwitchedOff::default(), 200, failing, at(10_000));
-        book.judge_outliers(later).len()
+        let mut registry =
+            registry_with_reported_failures(DisabledMechanisms::default(), 200, failing, at(10_000));
+        registry.update_ejections(later).len()
     };
     assert_eq!(changes(1), 1);
     // Two of six engines in use are above the cap, however many unused ones there are.
@@ -387,21 +389,21 @@
 }
 
 #[test]
-fn nothing_is_ejected_if_switched_off() {
-    let off = SwitchedOff::default().with(Mechanism::OutlierEjection);
-    let mut book = book_with_reported_failures(off, 6, 1, at(10_000));
-    assert!(book.judge_outliers(at(10_400)).is_empty());
-    assert_eq!(book.engines_put_aside(at(10_400)), 0);
+fn nothing_is_ejected_if_disabled() {
+    let disabled = DisabledMechanisms::default().with(Mechanism::OutlierEjection);
+    let mut registry = registry_with_reported_failures(disabled, 6, 1, at(10_000));
+    assert!(registry.update_ejections(at(10_400)).is_empty());
+    assert_eq!(registry.ejected_engines(at(10_400)), 0);
 }
 
 #[test]
 fn calls_expire_from_the_window() {
     let now = at(10_000);
-    let mut book = book_in_use(now);
-    run_call(&mut book, &engine_id(0), Outcome::Faulty, now);
-    run_call(&mut book, &engine_id(0), Outcome::Unreachable, now + Duration::from_millis(800));
+    let mut registry = registry_in_use(now);
+    run_call(&mut registry, &engine_id(0), Outcome::Faulty, now);
+    run_call(&mut registry, &engine_id(0), Outcome::Unreachable, now + Duration::from_millis(800));
     let recent = |millis| {
-        let loads = book.loads(now + Duration::from_millis(millis)).engines;
+        let loads = registry.load_report(now + Duration::from_millis(millis)).engines;
         loads.first().map(|load| (load.recent_ended, load.recent_failed))
     };
     assert_eq!(recent(800), Some((3, 2)));
@@ -413,50 +415,50 @@
 #[test]
 fn rejected_calls_are_not_counted() {
     let now = at(10_000);
-    let mut book = book_in_use(now);
+    let mut registry = registry_in_use(now);
     for _ in 0..100 {
-        run_call(&mut book, &engine_id(0), Outcome::Busy, now);
+        run_call(&mut registry, &engine_id(0), Outcome::Busy, now);
     }
-    assert!(book.judge_outliers(now).is_empty());
-    assert!(book.loads(now).engines.is_empty());
+    assert!(registry.update_ejections(now).is_empty());
+    assert!(registry.load_report(now).engines.is_empty());
 }
 
 #[test]
 fn recent_counts_are_reported_only_while_some_calls_failed() {
     let now = at(10_000);
     let (faulty, other) = (engine_id(0), engine_id(1));
-    let mut book = book_in_use(now);
-    assert!(book.loads(now).engines.is_empty());
-    run_call(&mut book, &faulty, Outcome::Faulty, now);
-    run_call(&mut book, &faulty, Outcome::Sound, now);
-    book.others_told(&peer_report(&other, 3, 1), now);
+    let mut registry = registry_in_use(now);
+    assert!(registry.load_report(now).engines.is_empty());
+    run_call(&mut registry, &faulty, Outcome::Faulty, now);
+    run_call(&mut registry, &faulty, Outcome::Sound, now);
+    registry.apply_peer_loads(&peer_report(&other, 3, 1), now);
     let expected = |id: &EngineId, recent_ended, recent_failed| EngineLoad {
-        engine: engine_key(&id.life_text()),
+        engine: engine_key(&id.incarnation_text()),
         recent_ended,
         recent_failed,
         ..EngineLoad::default()
     };
     let later = now + Duration::from_millis(1_200);
-    book.settle(|_| false, later);
-    assert_eq!(book.loads(later).engines, [expected(&faulty, 3, 1), expected(&other, 1, 0)]);
-    assert!(book.loads(now + Duration::from_secs(3)).engines.is_empty());
+    registry.regroup_interchangeable(|_| false, later);
+    assert_eq!(registry.load_report(later).engines, [expected(&faulty, 3, 1), expected(&other, 1, 0)]);
+    assert!(registry.load_report(now + Duration::from_secs(3)).engines.is_empty());
 }
 
 #[test]
 fn new_incarnation_starts_without_ejection() {
     let now = at(10_000);
-    let mut book = book_in_use(now);
+    let mut registry = registry_in_use(now);
     let incarnation = |start| EngineId::started("engine 000", EngineStart { unix_millis: start });
-    book.others_told(&peer_report(&engine_id(0), 100, 60), now);
+    registry.apply_peer_loads(&peer_report(&engine_id(0), 100, 60), now);
     let now = now + Duration::from_millis(400);
-    book.others_told(&peer_report(&engine_id(0), 100, 60), now);
-    assert_eq!(book.judge_outliers(now).len(), 1);
-    let spec = book.spec(&engine_id(0)).cloned().expect("the engine is known");
-    book.upsert(EngineSpec { id: incarnation(5_000), ..spec }, now);
-    run_call(&mut book, &incarnation(5_000), Outcome::Sound, now);
-    assert!(book.judge_outliers(now).is_empty());
+    registry.apply_peer_loads(&peer_report(&engine_id(0), 100, 60), now);
+    assert_eq!(registry.update_ejections(now).len(), 1);
+    let spec = registry.spec(&engine_id(0)).cloned().expect("the engine is known");
+    registry.upsert(EngineSpec { id: incarnation(5_000), ..spec }, now);
+    run_call(&mut registry, &incarnation(5_000), Outcome::Sound, now);
+    assert!(registry.update_ejections(now).is_empty());
     let only = incarnation(5_000);
     let request = sumacdrift_routing::PlacementRequest { only: Some(&only), ..engine_fixtures::request(&[]) };
-    assert_eq!(book.choose(&request, now).map(|placed| placed.engine), Some(only.clone()));
-    assert_eq!(book.engines_put_aside(now), 1, "only the earlier incarnation");
+    assert_eq!(registry.choose(&request, now).map(|placement| placement.engine), Some(only.clone()));
+    assert_eq!(registry.ejected_engines(now), 1, "only the earlier incarnation");
 }
--- a/crates/routing/tests/regions.rs
+++ b/crates/routing/tests/regions.rs
@@ -9,10 +9,12 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{PartHeld, engine_key};
-use sumacdrift_routing::{EngineBook, Evacuation, Outcome, PartNeed, PlacementRequest, TrafficPrices};
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{AllowedRegions, Location, Places, RegionName, SwitchedOff};
+use sumacdrift_fleet_view::{CachedPart, engine_key};
+use sumacdrift_routing::{
+    EngineRegistry, Evacuation, Outcome, PlacementRequest, RequiredPart, TrafficPrices,
+};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, RegionName, Topology};
 
 const ZONES: [(&str, &str); 4] = [("e1", "east"), ("e2", "east"), ("w1", "west"), ("s1", "south")];
 
@@ -21,31 +23,32 @@
 }
 
 fn only(regions: &[&str]) -> AllowedRegions {
-    AllowedRegions::only(regions.iter().map(|name| region(name)))
+    AllowedRegions::new(regions.iter().map(|name| region(name)))
 }
 
-/// A book of a node in `e1`.
-fn book(engines: &[(&str, &str)]) -> EngineBook {
-    let places = Places::new(ZONES.map(|(zone, of)| (Arc::from(zone), region(of))));
-    let location = Location { zone: Arc::from("e1"), places: Arc::new(places) };
-    let health = HealthSettings { failures_to_open: 2, ..HealthSettings::default() };
-    let mut book = EngineBook::new(location, TrafficPrices::default(), SwitchedOff::default(), health);
+/// A registry of a node in `e1`.
+fn registry(engines: &[(&str, &str)]) -> EngineRegistry {
+    let topology = Topology::new(ZONES.map(|(zone, of)| (Arc::from(zone), region(of))));
+    let location = Location { zone: Arc::from("e1"), topology: Arc::new(topology) };
+    let health = CircuitBreakerSettings { failure_threshold: 2, ..CircuitBreakerSettings::default() };
+    let mut registry =
+        EngineRegistry::new(location, TrafficPrices::default(), DisabledMechanisms::default(), health);
     for (id, zone) in engines {
-        book.upsert(spec(id, zone), NOW);
+        registry.upsert(spec(id, zone), NOW);
     }
-    book
+    registry
 }
 
-fn record_connect_time(book: &mut EngineBook, id: &str, millis: f64) {
-    book.connected(&EngineId::new(id), Duration::from_secs_f64(millis / 1e3));
+fn record_connect_time(registry: &mut EngineRegistry, id: &str, millis: f64) {
+    registry.record_connect_time(&EngineId::new(id), Duration::from_secs_f64(millis / 1e3));
 }
 
 #[test]
 fn calls_prefer_own_zone_then_own_region_then_other_regions() {
-    let mut book = book(&[("here", "e1"), ("near", "e2"), ("far", "w1")]);
+    let mut registry = registry(&[("here", "e1"), ("near", "e2"), ("far", "w1")]);
     for gone in ["here", "near", "far"] {
-        assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some(gone));
-        book.remove(&EngineId::new(gone), NOW);
+        assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some(gone));
+        registry.remove(&EngineId::new(gone), NOW);
     }
 }
 
@@ -53,12 +56,12 @@
 #[test]
 fn calls_spill_over_by_measured_round_trip() {
     for (one_way, spills_at) in [(0.2, 1..=8), (1.4, 1..=8), (30.0, 5..=40)] {
-        let mut book = book(&[("here", "e1"), ("far", "w1")]);
-        record_connect_time(&mut book, "here", 1.4);
-        record_connect_time(&mut book, "far", 1.0 + 2.0 * one_way);
+        let mut registry = registry(&[("here", "e1"), ("far", "w1")]);
+        record_connect_time(&mut registry, "here", 1.4);
+        record_connect_time(&mut registry, "far", 1.0 + 2.0 * one_way);
         let calls = (0..60).find(|_| {
-            let is_far = chosen(&book, &request(&[]), NOW).as_deref() == Some("far");
-            book.sent(&EngineId::new("here"), 0, NOW);
+            let is_far = chosen(&registry, &request(&[]), NOW).as_deref() == Some("far");
+            registry.record_sent(&EngineId::new("here"), 0, NOW);
             is_far
         });
         let calls = calls.expect("calls spill over at some load");
@@ -68,57 +71,57 @@
 
 #[test]
 fn calls_return_when_local_capacity_is_free() {
-    let mut book = book(&[("here", "e1"), ("far", "w1")]);
-    (0..60).for_each(|_| book.sent(&EngineId::new("here"), 0, NOW));
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("far"));
+    let mut registry = registry(&[("here", "e1"), ("far", "w1")]);
+    (0..60).for_each(|_| registry.record_sent(&EngineId::new("here"), 0, NOW));
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("far"));
     for _ in 0..60 {
-        book.ended(&EngineId::new("here"), Outcome::Sound, NOW);
+        registry.record_outcome(&EngineId::new("here"), Outcome::Sound, NOW);
     }
-    assert_eq!(chosen(&book, &request(&[]), NOW).as_deref(), Some("here"));
+    assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("here"));
 }
 
 /// A shorter connection time is adopted at once; a longer one has little weight, as the engine is the likely cause.
 #[test]
 fn round_trip_follows_the_shortest_recent_connection() {
-    let mut book = book(&[("far", "w1")]);
+    let mut registry = registry(&[("far", "w1")]);
     let far = EngineId::new("far");
     assert!(
-        book.round_trip(&far) > Duration::from_millis(20),
+        registry.round_trip(&far) > Duration::from_millis(20),
         "estimated from the location before the first connection"
     );
-    record_connect_time(&mut book, "far", 90.0);
-    record_connect_time(&mut book, "far", 61.0);
-    record_connect_time(&mut book, "far", 161.0);
-    assert_eq!(book.round_trip(&far).as_millis(), 66);
+    record_connect_time(&mut registry, "far", 90.0);
+    record_connect_time(&mut registry, "far", 61.0);
+    record_connect_time(&mut registry, "far", 161.0);
+    assert_eq!(registry.round_trip(&far).as_millis(), 66);
 }
 
 /// A short prompt cached in another region is prefilled again; a long one is worth the round trip.
 #[test]
 fn remote_cache_is_used_only_for_a_long_prompt() {
     for (tokens, expected) in [(500, "here"), (60_000, "far")] {
-        let mut book = book(&[("here", "e1"), ("far", "w1")]);
-        let held = u32::try_from(tokens).expect("tokens");
-        book.holds(PartHeld { part: 1, engine: engine_key("far"), tokens: held }, NOW);
-        let parts = [PartNeed { part: 1, tokens }];
-        assert_eq!(chosen(&book, &turn(1, &parts), NOW).as_deref(), Some(expected), "{tokens} tokens");
+        let mut registry = registry(&[("here", "e1"), ("far", "w1")]);
+        let cached = u32::try_from(tokens).expect("tokens");
+        registry.record_cached_part(CachedPart { part: 1, engine: engine_key("far"), tokens: cached }, NOW);
+        let parts = [RequiredPart { part: 1, tokens }];
+        assert_eq!(chosen(&registry, &turn(1, &parts), NOW).as_deref(), Some(expected), "{tokens} tokens");
     }
 }
 
 #[test]
 fn region_bound_call_never_leaves_its_regions() {
-    let mut book = book(&[("here", "e1"), ("far", "w1"), ("unknown", "x9")]);
+    let mut registry = registry(&[("here", "e1"), ("far", "w1"), ("unknown", "x9")]);
     let west = only(&["west"]);
     let bound = PlacementRequest { regions: &west, ..request(&[]) };
-    assert_eq!(chosen(&book, &bound, NOW).as_deref(), Some("far"));
+    assert_eq!(chosen(&registry, &bound, NOW).as_deref(), Some("far"));
     // Not even a failing, removed or evacuated engine is replaced by one outside the regions.
-    book.remove(&EngineId::new("far"), NOW);
-    assert_eq!(chosen(&book, &bound, NOW + Duration::from_secs(5)), None);
+    registry.remove(&EngineId::new("far"), NOW);
+    assert_eq!(chosen(&registry, &bound, NOW + Duration::from_secs(5)), None);
     let both = only(&["west", "east"]);
-    book.evacuate(Evacuation { zone: Arc::from("e1"), revision: 1 }, NOW);
+    registry.begin_evacuation(Evacuation { zone: Arc::from("e1"), revision: 1 }, NOW);
     let bound = PlacementRequest { regions: &both, ..request(&[]) };
-    assert_eq!(chosen(&book, &bound, NOW + Duration::from_secs(5)), None);
+    assert_eq!(chosen(&registry, &bound, NOW + Duration::from_secs(5)), None);
     let unbound = request(&[]);
-    assert_eq!(chosen(&book, &unbound, NOW + Duration::from_secs(5)).as_deref(), Some("unknown"));
+    assert_eq!(chosen(&registry, &unbound, NOW + Duration::from_secs(5)).as_deref(), Some("unknown"));
 }
 
 /// No engine outside the allowed regions is chosen in any state.
@@ -127,16 +130,16 @@
     let names = ["east", "west", "south"];
     for seed in 0..10_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut book = book(&[]);
+        let mut registry = registry(&[]);
         let count = random.random_range(1..8);
         let mut zones = Vec::new();
         for engine in 0..count {
             let (zone, of) = ZONES[random.random_range(0..ZONES.len())];
             let id = format!("engine {engine}");
-            book.upsert(spec(&id, zone), NOW);
-            (0..random.random_range(0..12)).for_each(|_| book.sent(&EngineId::new(&id), 100, NOW));
+            registry.upsert(spec(&id, zone), NOW);
+            (0..random.random_range(0..12)).for_each(|_| registry.record_sent(&EngineId::new(&id), 100, NOW));
             if random.random_bool(0.2) {
-                book.remove(&EngineId::new(&id), NOW);
+                registry.remove(&EngineId::new(&id), NOW);
             }
             zones.push((id, of));
         }
@@ -144,7 +147,7 @@
         let regions = only(&allowed);
         let key = random.random();
         let bound = PlacementRequest { regions: &regions, key, ..request(&[]) };
-        let Some(engine) = chosen(&book, &bound, NOW) else { continue };
+        let Some(engine) = chosen(&registry, &bound, NOW) else { continue };
         let (_, of) = zones.iter().find(|(id, _)| *id == engine).expect("an engine is available");
         assert!(
             allowed.is_empty() || allowed.contains(of),
--- a/crates/routing/tests/simulated_fleet/mod.rs
+++ b/crates/routing/tests/simulated_fleet/mod.rs
@@ -6,13 +6,13 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{Board, BoardSizes, Loads, News};
+use sumacdrift_fleet_view::{BoardLimits, Loads, NodeReport, ReportBoard};
 use sumacdrift_routing::{
-    EngineBook, EngineSpec, Outcome, OutlierChange, OutlierChangeKind, PartNeed, PlacementRequest,
-    RequestedWork, TrafficPrices,
+    EngineRegistry, EngineSpec, Outcome, OutlierChange, OutlierChangeKind, PlacementRequest, RequestedWork,
+    RequiredPart, TrafficPrices,
 };
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{AllowedRegions, Location, Mechanism, SwitchedOff, Timestamp};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, Mechanism, Timestamp};
 
 const STEP: Duration = Duration::from_millis(10);
 const CALL_TIME: Duration = Duration::from_millis(100);
@@ -79,19 +79,19 @@
 
     pub fn first_ejection(&self, edge: usize) -> Option<Timestamp> {
         let mut changes = self.changes.iter();
-        let is_ejected = |change: &OutlierChange| matches!(change.kind, OutlierChangeKind::PutAside { .. });
+        let is_ejected = |change: &OutlierChange| matches!(change.kind, OutlierChangeKind::Ejected { .. });
         changes.find(|(of, _, change)| *of == edge && is_ejected(change)).map(|(_, now, _)| *now)
     }
 
     /// Number of ejections by all edges.
     pub fn ejections(&self) -> usize {
         let changes = self.changes.iter();
-        changes.filter(|(_, _, change)| matches!(change.kind, OutlierChangeKind::PutAside { .. })).count()
+        changes.filter(|(_, _, change)| matches!(change.kind, OutlierChangeKind::Ejected { .. })).count()
     }
 }
 
 struct Edge {
-    book: EngineBook,
+    registry: EngineRegistry,
     build: Build,
     inbox: VecDeque<(Timestamp, Loads)>,
     next_report_at: Timestamp,
@@ -100,7 +100,7 @@
 struct Fleet<'a> {
     scenario: &'a Scenario,
     edges: Vec<Edge>,
-    board: Board,
+    board: ReportBoard,
     in_flight: VecDeque<SimulatedCall>,
     random: ChaCha8Rng,
     result: Result,
@@ -114,14 +114,15 @@
     EngineId::new(&format!("engine {engine:03}"))
 }
 
-pub fn edge_book(engines: usize, slots: usize, off: SwitchedOff) -> EngineBook {
-    let health = HealthSettings {
-        failures_to_open: 2,
-        first_pause: Duration::from_millis(500),
-        max_pause: Duration::from_secs(4),
+pub fn edge_registry(engines: usize, slots: usize, disabled: DisabledMechanisms) -> EngineRegistry {
+    let health = CircuitBreakerSettings {
+        failure_threshold: 2,
+        initial_backoff: Duration::from_millis(500),
+        max_backoff: Duration::from_secs(4),
         slow_start: Duration::from_secs(1),
     };
-    let mut book = EngineBook::new(Location::in_zone("z"), TrafficPrices::default(), off, health);
+    let mut registry =
+        EngineRegistry::new(Location::in_zone("z"), TrafficPrices::default(), disabled, health);
     for engine in 0..engines {
         let spec = EngineSpec {
             id: engine_id(engine),
@@ -130,12 +131,12 @@
             zone: "z".into(),
             slots,
             is_leaving: false,
-            cold_left: Duration::ZERO,
+            warmup_left: Duration::ZERO,
             report: 1,
         };
-        book.upsert(spec, Timestamp::default());
+        registry.upsert(spec, Timestamp::default());
     }
-    book
+    registry
 }
 
 pub fn simulate(scenario: &Scenario) -> Result {
@@ -146,7 +147,7 @@
         fleet.end_calls(now);
         fleet.exchange(now);
         fleet.begin_calls(now);
-        let ejected = fleet.edges.iter().map(|edge| edge.book.engines_put_aside(now)).max();
+        let ejected = fleet.edges.iter().map(|edge| edge.registry.ejected_engines(now)).max();
         fleet.result.max_ejected = fleet.result.max_ejected.max(ejected.unwrap_or(0));
     }
     fleet.result
@@ -155,12 +156,14 @@
 impl<'a> Fleet<'a> {
     fn new(scenario: &'a Scenario) -> Self {
         let edge = |build: &Build| {
-            let off = match build {
-                Build::Current => SwitchedOff::default(),
-                Build::EjectionOff | Build::Old => SwitchedOff::default().with(Mechanism::OutlierEjection),
+            let disabled = match build {
+                Build::Current => DisabledMechanisms::default(),
+                Build::EjectionOff | Build::Old => {
+                    DisabledMechanisms::default().with(Mechanism::OutlierEjection)
+                }
             };
             Edge {
-                book: edge_book(scenario.engines, scenario.slots, off),
+                registry: edge_registry(scenario.engines, scenario.slots, disabled),
                 build: *build,
                 inbox: VecDeque::new(),
                 next_report_at: Timestamp::default(),
@@ -169,7 +172,7 @@
         Self {
             scenario,
             edges: scenario.builds.iter().map(edge).collect(),
-            board: Board::new(BoardSizes { parts: 64, keep_parts_for: Duration::from_secs(10) }),
+            board: ReportBoard::new(BoardLimits { parts: 64, part_ttl: Duration::from_secs(10) }),
             in_flight: VecDeque::new(),
             random: ChaCha8Rng::seed_from_u64(scenario.seed),
             result: Result { calls: Vec::new(), changes: Vec::new(), max_ejected: 0 },
@@ -177,7 +180,7 @@
     }
 
     fn evaluate(&mut self, edge: usize, now: Timestamp) {
-        let changes = self.edges[edge].book.judge_outliers(now);
+        let changes = self.edges[edge].registry.update_ejections(now);
         self.result.changes.extend(changes.into_iter().map(|change| (edge, now, change)));
     }
 
@@ -187,7 +190,7 @@
             let chance = (self.scenario.failure_chance)(call.engine, now);
             call.has_failed = self.random.random::<f64>() < chance;
             let outcome = if call.has_failed { Outcome::Faulty } else { Outcome::Sound };
-            self.edges[call.edge].book.ended(&engine_id(call.engine), outcome, now);
+            self.edges[call.edge].registry.record_outcome(&engine_id(call.engine), outcome, now);
             if call.has_failed {
                 self.evaluate(call.edge, now);
             }
@@ -202,21 +205,22 @@
             if now >= edge.next_report_at {
                 edge.next_report_at =
                     now + Duration::from_millis(self.random.random_range(REPORT_INTERVAL_MILLIS));
-                let mut loads = edge.book.loads(now);
+                let mut loads = edge.registry.load_report(now);
                 if edge.build == Build::Old {
                     for load in &mut loads.engines {
                         (load.recent_ended, load.recent_failed) = (0, 0);
                     }
                 }
                 let node = format!("edge {number}");
-                let news = News { node, loads: Some(loads), asks_loads: true, ..News::default() };
-                let peer_loads = self.board.exchange(news, now).loads.expect("loads were requested");
+                let report =
+                    NodeReport { node, loads: Some(loads), wants_loads: true, ..NodeReport::default() };
+                let peer_loads = self.board.exchange(report, now).loads.expect("loads were requested");
                 edge.inbox.push_back((now + REPORT_DELAY, peer_loads));
             }
             while edge.inbox.front().is_some_and(|(due, _)| *due <= now) {
                 let Some((_, peer_loads)) = edge.inbox.pop_front() else { break };
-                edge.book.others_told(&peer_loads, now);
-                let changes = edge.book.judge_outliers(now);
+                edge.registry.apply_peer_loads(&peer_loads, now);
+                let changes = edge.registry.update_ejections(now);
                 self.result.changes.extend(changes.into_iter().map(|change| (number, now, change)));
             }
         }
@@ -232,10 +236,10 @@
     }
 
     fn begin_call(&mut self, edge: usize, now: Timestamp) {
-        let parts = [PartNeed { part: self.random.random(), tokens: 500 }];
+        let parts = [RequiredPart { part: self.random.random(), tokens: 500 }];
         let work = match self.scenario.work {
             Work::Stream => RequestedWork::Stream { parts: &parts },
-            Work::Whole => RequestedWork::Whole { usual: CALL_TIME, is_sticky: false },
+            Work::Whole => RequestedWork::Buffered { usual: CALL_TIME, is_sticky: false },
         };
         let request = PlacementRequest {
             service: "s",
@@ -245,14 +249,14 @@
             kilobytes: 1.0,
             is_connected: &|_| true,
             avoid: &[],
-            rather_not: &[],
+            deprioritized: &[],
             only: None,
         };
-        let book = &mut self.edges[edge].book;
-        let placed = book.choose(&request, now).expect("an engine is available");
-        book.sent(&placed.engine, placed.unread_tokens, now);
-        book.was_read(&placed.engine, placed.unread_tokens);
-        let engine = (0..self.scenario.engines).find(|engine| engine_id(*engine) == placed.engine);
+        let registry = &mut self.edges[edge].registry;
+        let placement = registry.choose(&request, now).expect("an engine is available");
+        registry.record_sent(&placement.engine, placement.unread_tokens, now);
+        registry.record_prefilled(&placement.engine, placement.unread_tokens);
+        let engine = (0..self.scenario.engines).find(|engine| engine_id(*engine) == placement.engine);
         self.in_flight.push_back(SimulatedCall {
             edge,
             engine: engine.expect("a known engine"),
--- a/crates/routing/tests/stale_reports.rs
+++ b/crates/routing/tests/stale_reports.rs
@@ -5,12 +5,12 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{Board, BoardSizes, News, View};
+use sumacdrift_fleet_view::{BoardLimits, NodeReport, PeerView, ReportBoard};
 use sumacdrift_routing::{
-    EngineBook, EngineSpec, Outcome, PartNeed, PlacementRequest, RequestedWork, TrafficPrices,
+    EngineRegistry, EngineSpec, Outcome, PlacementRequest, RequestedWork, RequiredPart, TrafficPrices,
 };
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{AllowedRegions, Location, SwitchedOff, Timestamp};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, Timestamp};
 
 const EDGES: usize = 8;
 const ENGINES: usize = 12;
@@ -26,8 +26,8 @@
 }
 
 struct Simulation {
-    books: Vec<EngineBook>,
-    board: Board,
+    registries: Vec<EngineRegistry>,
+    board: ReportBoard,
     calls: Vec<Call>,
     random: ChaCha8Rng,
 }
@@ -41,25 +41,25 @@
             zone: "z".into(),
             slots: 64,
             is_leaving: false,
-            cold_left: Duration::ZERO,
+            warmup_left: Duration::ZERO,
             report: 1,
         };
-        let book = |_| {
-            let mut book = EngineBook::new(
+        let registry = |_| {
+            let mut registry = EngineRegistry::new(
                 Location::in_zone("z"),
                 TrafficPrices::default(),
-                SwitchedOff::default(),
-                HealthSettings::default(),
+                DisabledMechanisms::default(),
+                CircuitBreakerSettings::default(),
             );
             for engine in 0..ENGINES {
-                book.upsert(spec(engine), Timestamp::default());
+                registry.upsert(spec(engine), Timestamp::default());
             }
-            book
+            registry
         };
-        let sizes = BoardSizes { parts: 64, keep_parts_for: Duration::from_secs(10) };
+        let limits = BoardLimits { parts: 64, part_ttl: Duration::from_secs(10) };
         Self {
-            books: (0..EDGES).map(book).collect(),
-            board: Board::new(sizes),
+            registries: (0..EDGES).map(registry).collect(),
+            board: ReportBoard::new(limits),
             calls: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -70,7 +70,7 @@
             if !self.random.random_bool(ARRIVAL_CHANCE) {
                 continue;
             }
-            let parts = [PartNeed { part: self.random.random(), tokens: 500 }];
+            let parts = [RequiredPart { part: self.random.random(), tokens: 500 }];
             let request = PlacementRequest {
                 service: "s",
                 regions: &AllowedRegions::default(),
@@ -79,13 +79,13 @@
                 kilobytes: 1.0,
                 is_connected: &|_| true,
                 avoid: &[],
-                rather_not: &[],
+                deprioritized: &[],
                 only: None,
             };
-            let placed = self.books[edge].choose(&request, now).expect("an engine is available");
-            self.books[edge].sent(&placed.engine, placed.unread_tokens, now);
-            self.books[edge].was_read(&placed.engine, placed.unread_tokens);
-            self.calls.push(Call { edge, engine: placed.engine, ends: now + CALL_TIME });
+            let placement = self.registries[edge].choose(&request, now).expect("an engine is available");
+            self.registries[edge].record_sent(&placement.engine, placement.unread_tokens, now);
+            self.registries[edge].record_prefilled(&placement.engine, placement.unread_tokens);
+            self.calls.push(Call { edge, engine: placement.engine, ends: now + CALL_TIME });
         }
     }
 
@@ -95,24 +95,24 @@
         self.calls = in_flight;
         let ended: Vec<Call> = ended;
         for call in ended {
-            self.books[call.edge].ended(&call.engine, Outcome::Sound, now);
+            self.registries[call.edge].record_outcome(&call.engine, Outcome::Sound, now);
         }
     }
 
     /// All edges report and receive at the same time.
     fn exchange(&mut self, now: Timestamp) {
-        let report = |edge: usize, asks_loads: bool, books: &[EngineBook]| News {
+        let report = |edge: usize, asks_loads: bool, registries: &[EngineRegistry]| NodeReport {
             node: format!("edge {edge}"),
-            loads: Some(books[edge].loads(now)),
-            asks_loads,
-            ..News::default()
+            loads: Some(registries[edge].load_report(now)),
+            wants_loads: asks_loads,
+            ..NodeReport::default()
         };
         for edge in 0..EDGES {
-            self.board.exchange(report(edge, false, &self.books), now);
+            self.board.exchange(report(edge, false, &self.registries), now);
         }
         for edge in 0..EDGES {
-            let view: View = self.board.exchange(report(edge, true, &self.books), now);
-            self.books[edge].others_told(&view.loads.expect("loads were requested"), now);
+            let view: PeerView = self.board.exchange(report(edge, true, &self.registries), now);
+            self.registries[edge].apply_peer_loads(&view.loads.expect("loads were requested"), now);
         }
     }
 
--- a/crates/scheduling/src/health.rs
+++ b/crates/scheduling/src/circuit_breaker.rs
@@ -6,23 +6,23 @@
 
 /// Thresholds and backoff of the circuit breaker.
 #[derive(Debug, Clone, Copy)]
-pub struct HealthSettings {
+pub struct CircuitBreakerSettings {
     /// Consecutive failures after which the circuit opens.
-    pub failures_to_open: u32,
+    pub failure_threshold: u32,
     /// Time for which the circuit stays open before the first trial call.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// Upper bound on that time, which doubles with each failed trial call.
-    pub max_pause: Duration,
+    pub max_backoff: Duration,
     /// Time after a recovery over which the concurrency limit grows linearly to its full value.
     pub slow_start: Duration,
 }
 
-impl Default for HealthSettings {
+impl Default for CircuitBreakerSettings {
     fn default() -> Self {
         Self {
-            failures_to_open: 3,
-            first_pause: Duration::from_secs(1),
-            max_pause: Duration::from_secs(30),
+            failure_threshold: 3,
+            initial_backoff: Duration::from_secs(1),
+            max_backoff: Duration::from_secs(30),
             slow_start: Duration::from_secs(10),
         }
     }
@@ -41,22 +41,22 @@
 
 /// Circuit breaker of one engine.
 #[derive(Debug, Clone)]
-pub struct Health {
-    settings: HealthSettings,
+pub struct CircuitBreaker {
+    settings: CircuitBreakerSettings,
     state: CircuitState,
     consecutive_failures: u32,
     backoff: Duration,
     recovered_at: Option<Timestamp>,
 }
 
-impl Health {
+impl CircuitBreaker {
     /// Starts closed, at the full concurrency limit.
-    pub fn new(settings: HealthSettings) -> Self {
+    pub fn new(settings: CircuitBreakerSettings) -> Self {
         Self {
             settings,
             state: CircuitState::Closed,
             consecutive_failures: 0,
-            backoff: settings.first_pause,
+            backoff: settings.initial_backoff,
             recovered_at: None,
         }
     }
@@ -95,7 +95,7 @@
         }
         self.state = CircuitState::Closed;
         self.consecutive_failures = 0;
-        self.backoff = self.settings.first_pause;
+        self.backoff = self.settings.initial_backoff;
     }
 
     /// Records a call that failed through the engine's fault.
@@ -103,9 +103,9 @@
         self.consecutive_failures += 1;
         let was_trial = self.state == CircuitState::HalfOpen;
         if was_trial {
-            self.backoff = (self.backoff * 2).min(self.settings.max_pause);
+            self.backoff = (self.backoff * 2).min(self.settings.max_backoff);
         }
-        if was_trial || self.consecutive_failures >= self.settings.failures_to_open {
+        if was_trial || self.consecutive_failures >= self.settings.failure_threshold {
             self.state = CircuitState::Open(now + self.backoff);
         }
     }
--- a/crates/scheduling/src/returning_programs.rs
+++ b/crates/scheduling/src/expected_retries.rs
@@ -22,13 +22,13 @@
 
 /// Programs that were given a retry time, by a hash of their names.
 #[derive(Debug, Default)]
-pub struct ReturningPrograms {
+pub struct ExpectedRetries {
     expected: HashMap<u64, ExpectedRetry>,
 }
 
-impl ReturningPrograms {
+impl ExpectedRetries {
     /// Records that a program was rejected and told to retry after this delay.
-    pub fn told(&mut self, program: u64, retry_after: Duration, now: Timestamp) {
+    pub fn record_rejection(&mut self, program: u64, retry_after: Duration, now: Timestamp) {
         self.expected.retain(|_, expected| expected.retry_at + LATE_TOLERANCE > now);
         if self.expected.len() >= MAX_PROGRAMS
             && let Some((last, _)) = self.expected.iter().max_by_key(|(_, expected)| expected.retry_at)
@@ -40,7 +40,7 @@
     }
 
     /// Whether a call that arrives now is the retry that the program was told to make.
-    pub fn is_returning(&self, program: u64, now: Timestamp) -> bool {
+    pub fn is_expected(&self, program: u64, now: Timestamp) -> bool {
         self.expected.get(&program).is_some_and(|expected| {
             let has_waited =
                 now >= expected.rejected_at + MIN_DELAY && now + EARLY_TOLERANCE >= expected.retry_at;
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -8,9 +8,10 @@
 //! experiment tool run the same code.
 
 mod cache_index;
+mod circuit_breaker;
 mod completion_rate;
 mod cost;
-mod health;
+mod expected_retries;
 mod order;
 mod placement;
 mod program_order;
@@ -18,24 +19,25 @@
 mod rates;
 mod retry_budget;
 mod retry_schedule;
-mod returning_programs;
 mod service_queue;
 mod shares;
 mod waiting_list;
 mod work;
 
 pub use cache_index::CacheIndex;
+pub use circuit_breaker::{CircuitBreaker, CircuitBreakerSettings, CircuitState};
 pub use cost::{Bid, EngineLoad, Estimate, estimate};
-pub use health::{CircuitState, Health, HealthSettings};
+pub use expected_retries::ExpectedRetries;
 pub use order::{OrderKey, OrderSettings, order_key};
-pub use placement::{Placement, PlacementWeights, choose, sample_candidates};
+pub use placement::{Placement, PlacementWeights, choose_bid, sample_candidates};
 pub use program_order::{LATE_PROGRAM_RANK, ProgramOrderKey, ProgramStage, QueuedCall, program_order_key};
 pub use queue::{EngineQueue, FinishedWork, QueueEffect, QueueSettings, Release};
 pub use rates::{EngineRates, RateObservation};
 pub use retry_budget::RetryBudget;
 pub use retry_schedule::RetrySchedule;
-pub use returning_programs::ReturningPrograms;
-pub use service_queue::{QueueTicket, RefusalReason, ServiceQueue, ServiceQueueAction, ServiceQueueSettings};
-pub use shares::{RankDemand, RankShare, ServiceRoom, allocate_shares};
+pub use service_queue::{
+    QueueTicket, RejectionReason, ServiceQueue, ServiceQueueAction, ServiceQueueSettings,
+};
+pub use shares::{RankDemand, RankShare, ServiceCapacity, allocate_shares};
 pub use waiting_list::{WaitingCall, WaitingList, WaitingListFull};
-pub use work::{ContextPrefix, PriorityRank, Work, context_prefixes};
+pub use work::{ContextPrefix, EngineWork, PriorityRank, context_prefixes};
--- a/crates/scheduling/src/order.rs
+++ b/crates/scheduling/src/order.rs
@@ -4,7 +4,7 @@
 
 use sumacdrift_types::{Timestamp, TokenCount};
 
-use crate::{PriorityRank, Work};
+use crate::{EngineWork, PriorityRank};
 
 /// Thresholds of the service order.
 #[derive(Debug, Clone, Copy)]
@@ -43,7 +43,12 @@
 /// vary widely; for such lengths this approximates shortest job first. Levels double in size, so that long
 /// programs of similar age don't alternate and delay each other. A call that waited past the starvation bound
 /// goes first whatever its rank.
-pub fn order_key(settings: &OrderSettings, work: &Work, enqueued_at: Timestamp, now: Timestamp) -> OrderKey {
+pub fn order_key(
+    settings: &OrderSettings,
+    work: &EngineWork,
+    enqueued_at: Timestamp,
+    now: Timestamp,
+) -> OrderKey {
     let level = (work.attained_tokens / settings.first_level_tokens.max(1)).checked_ilog2();
     let is_urgent = work.deadline.is_some_and(|deadline| deadline < now + settings.urgent_slack);
     OrderKey {
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -29,7 +29,11 @@
 }
 
 /// Chooses the cheapest bid; `None` without bids. `prefill_tokens_per_second` converts tokens to seconds.
-pub fn choose(bids: &[Bid], weights: &PlacementWeights, prefill_tokens_per_second: f64) -> Option<Placement> {
+pub fn choose_bid(
+    bids: &[Bid],
+    weights: &PlacementWeights,
+    prefill_tokens_per_second: f64,
+) -> Option<Placement> {
     let cost = |bid: &Bid| bid_cost(bid, weights, prefill_tokens_per_second);
     let best = bids.iter().min_by(|left, right| cost(left).total_cmp(&cost(right)))?;
     Some(Placement { bid: best.clone(), reason: describe(best, cost(best), bids.len()) })
--- a/crates/scheduling/src/program_order.rs
+++ b/crates/scheduling/src/program_order.rs
@@ -24,7 +24,7 @@
 pub const LATE_PROGRAM_RANK: PriorityRank = PriorityRank::MAX;
 
 /// Shortest expected duration of a call, as a fraction of the usual one.
-const MIN_FRACTION_OF_USUAL_TIME: f64 = 0.7;
+const MIN_FRACTION_OF_EXPECTED_DURATION: f64 = 0.7;
 
 /// A call that waits for a service's capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,11 +34,11 @@
     pub rank: PriorityRank,
     pub stage: ProgramStage,
     /// Deadline of the whole program; `None` if the caller gives none.
-    pub program_end: Option<Timestamp>,
+    pub program_deadline: Option<Timestamp>,
     /// When the caller stops waiting for the call.
     pub deadline: Timestamp,
     /// Usual duration of such calls at an engine.
-    pub usual_time: Duration,
+    pub expected_duration: Duration,
     /// Memory that the call holds while it waits.
     pub bytes: usize,
 }
@@ -46,7 +46,7 @@
 impl QueuedCall {
     /// Shortest time that the call is expected to take at an engine.
     pub fn min_time(&self) -> Duration {
-        self.usual_time.mul_f64(MIN_FRACTION_OF_USUAL_TIME)
+        self.expected_duration.mul_f64(MIN_FRACTION_OF_EXPECTED_DURATION)
     }
 
     /// Whether the call can be answered before its deadline if it is admitted at `admitted_at`.
@@ -56,7 +56,7 @@
 
     /// Whether the program misses its deadline if the call is admitted at `admitted_at`.
     pub fn is_program_late(&self, admitted_at: Timestamp) -> bool {
-        self.program_end.is_some_and(|end| admitted_at + self.min_time() >= end)
+        self.program_deadline.is_some_and(|end| admitted_at + self.min_time() >= end)
     }
 
     /// Rank at a time: [`LATE_PROGRAM_RANK`] once the program can no longer end in time.
@@ -96,7 +96,7 @@
         is_not_starving: !is_starving(call, enqueued_at, now, starvation_bound),
         rank: call.effective_rank(now),
         stage: call.stage,
-        deadline: call.program_end.unwrap_or(call.deadline),
+        deadline: call.program_deadline.unwrap_or(call.deadline),
         enqueued_at,
     }
 }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -7,8 +7,8 @@
 use sumacdrift_types::{CallId, EngineName, Problem, ProgramId, ResultCode, Timestamp, TokenCount, Usage};
 
 use crate::{
-    Bid, CacheIndex, ContextPrefix, EngineLoad, EngineRates, Health, HealthSettings, OrderSettings,
-    RateObservation, WaitingList, Work, estimate, order_key,
+    Bid, CacheIndex, CircuitBreaker, CircuitBreakerSettings, ContextPrefix, EngineLoad, EngineRates,
+    EngineWork, OrderSettings, RateObservation, WaitingList, estimate, order_key,
 };
 
 /// Limits and initial values of an engine's queue.
@@ -24,7 +24,7 @@
     /// Time after which a granted call that was not released is considered lost.
     pub grant_lease: Duration,
     pub order: OrderSettings,
-    pub health: HealthSettings,
+    pub circuit_breaker: CircuitBreakerSettings,
     /// Rates assumed until calls were observed.
     pub rates: EngineRates,
 }
@@ -37,7 +37,7 @@
             capacity_tokens: 400_000,
             grant_lease: Duration::from_secs(600),
             order: OrderSettings::default(),
-            health: HealthSettings::default(),
+            circuit_breaker: CircuitBreakerSettings::default(),
             rates: EngineRates::default(),
         }
     }
@@ -50,7 +50,7 @@
     /// The call may be sent to the engine.
     Grant { call: CallId },
     /// The call is rejected without having been sent.
-    Refuse { call: CallId, problem: Problem },
+    Reject { call: CallId, problem: Problem },
 }
 
 /// Outcome of a granted call.
@@ -70,16 +70,16 @@
     /// Token counts reported by the engine.
     pub usage: Usage,
     /// Time from sending the request to the first token.
-    pub first_token: Duration,
+    pub time_to_first_token: Duration,
     /// Time from the first to the last token.
-    pub decoding: Duration,
+    pub decode_time: Duration,
     /// Boundary after the answer, up to which the cache now holds the history; `None` if unknown.
     pub end: Option<ContextPrefix>,
 }
 
 #[derive(Debug)]
 struct RunningCall {
-    work: Work,
+    work: EngineWork,
     granted_at: Timestamp,
     uncached_tokens: TokenCount,
 }
@@ -90,9 +90,9 @@
     engine: EngineName,
     settings: QueueSettings,
     rates: EngineRates,
-    health: Health,
+    circuit_breaker: CircuitBreaker,
     cache: CacheIndex,
-    queued: WaitingList<CallId, Work>,
+    queued: WaitingList<CallId, EngineWork>,
     running: BTreeMap<CallId, RunningCall>,
     is_draining: bool,
 }
@@ -104,7 +104,7 @@
             engine,
             settings,
             rates: settings.rates,
-            health: Health::new(settings.health),
+            circuit_breaker: CircuitBreaker::new(settings.circuit_breaker),
             cache: CacheIndex::new(settings.capacity_tokens),
             queued: WaitingList::new(settings.max_queued),
             running: BTreeMap::new(),
@@ -137,17 +137,17 @@
     /// Whether new calls are accepted: the engine isn't draining and its circuit breaker admits calls.
     pub fn is_usable(&self, now: Timestamp) -> bool {
         (!self.is_draining || is_broken(Rule::LeavingEngineRefuses))
-            && self.health.allowed(self.settings.max_running, now) > 0
+            && self.circuit_breaker.allowed(self.settings.max_running, now) > 0
     }
 
     /// Starts or ends draining. A draining engine gets no new calls, and the waiting ones are rejected.
-    pub fn set_leaving(&mut self, is_draining: bool) -> Vec<QueueEffect> {
+    pub fn set_draining(&mut self, is_draining: bool) -> Vec<QueueEffect> {
         self.is_draining = is_draining;
         if !is_draining {
             return Vec::new();
         }
         let calls = self.queued.drain_ids().into_iter();
-        calls.map(|call| QueueEffect::Refuse { call, problem: self.not_accepting_problem() }).collect()
+        calls.map(|call| QueueEffect::Reject { call, problem: self.not_accepting_problem() }).collect()
     }
 
     /// Applies new limits. Circuit breaker, learned rates and cache index stay as they are.
@@ -169,19 +169,19 @@
     }
 
     /// Queues a call; rejects it if the engine accepts none or the queue is full.
-    pub fn enqueue(&mut self, work: Work, now: Timestamp) -> Vec<QueueEffect> {
+    pub fn enqueue(&mut self, work: EngineWork, now: Timestamp) -> Vec<QueueEffect> {
         let call = work.call;
         if !self.is_usable(now) {
-            return vec![QueueEffect::Refuse { call, problem: self.not_accepting_problem() }];
+            return vec![QueueEffect::Reject { call, problem: self.not_accepting_problem() }];
         }
         if self.queued.push(call, work, now).is_err() {
-            return vec![QueueEffect::Refuse { call, problem: self.queue_full_problem() }];
+            return vec![QueueEffect::Reject { call, problem: self.queue_full_problem() }];
         }
         self.grant_next_calls(now)
     }
 
     /// Removes a waiting call; one that was granted must be released instead.
-    pub fn forget(&mut self, call: CallId) {
+    pub fn cancel(&mut self, call: CallId) {
         self.queued.remove(call);
     }
 
@@ -189,10 +189,10 @@
     pub fn release(&mut self, release: Release, now: Timestamp) -> Vec<QueueEffect> {
         let Some(running) = self.running.remove(&release.call) else { return Vec::new() };
         if release.is_engine_fault {
-            self.health.failed(now);
+            self.circuit_breaker.failed(now);
         }
         if let Some(finished) = release.finished {
-            self.health.succeeded(now);
+            self.circuit_breaker.succeeded(now);
             self.record_finished(&running, finished, now);
         }
         self.grant_next_calls(now)
@@ -214,7 +214,7 @@
             self.queued.remove(call);
             let detail = "deadline passed while the call was queued for an engine";
             let problem = Problem::not_run(ResultCode::DeadlineExceeded, detail);
-            effects.push(QueueEffect::Refuse { call, problem });
+            effects.push(QueueEffect::Reject { call, problem });
         }
         effects.extend(self.grant_next_calls(now));
         effects
@@ -226,7 +226,7 @@
             let Some(call) = self.next_call(now) else { break };
             let Some(queued) = self.queued.remove(call) else { break };
             let uncached_tokens = self.uncached_tokens(&queued.call);
-            self.health.sent(now);
+            self.circuit_breaker.sent(now);
             self.running.insert(call, RunningCall { work: queued.call, granted_at: now, uncached_tokens });
             effects.push(QueueEffect::Grant { call });
         }
@@ -234,7 +234,7 @@
     }
 
     fn has_free_slot(&self, now: Timestamp) -> bool {
-        let allowed = self.health.allowed(self.settings.max_running, now);
+        let allowed = self.circuit_breaker.allowed(self.settings.max_running, now);
         (!self.is_draining || is_broken(Rule::LeavingEngineRefuses)) && self.running.len() < allowed
     }
 
@@ -253,8 +253,8 @@
         let usage = finished.usage;
         self.rates.observe(&RateObservation {
             uncached_tokens: usage.prompt_tokens.saturating_sub(usage.cached_tokens),
-            time_to_first_token: finished.first_token,
-            decode_time: finished.decoding,
+            time_to_first_token: finished.time_to_first_token,
+            decode_time: finished.decode_time,
             output_tokens: usage.output_tokens,
             running: self.running.len() + 1,
         });
@@ -264,7 +264,7 @@
         self.cache.insert(&prefixes, &running.work.program, now);
     }
 
-    fn uncached_tokens(&self, work: &Work) -> TokenCount {
+    fn uncached_tokens(&self, work: &EngineWork) -> TokenCount {
         work.prompt_tokens().saturating_sub(self.cache.cached_tokens(&work.prefixes))
     }
 
--- a/crates/scheduling/src/retry_budget.rs
+++ b/crates/scheduling/src/retry_budget.rs
@@ -22,7 +22,7 @@
     }
 
     /// Records a first attempt.
-    pub fn attempted(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.maximum);
     }
 
--- a/crates/scheduling/src/service_queue.rs
+++ b/crates/scheduling/src/service_queue.rs
@@ -16,7 +16,7 @@
 use crate::completion_rate::CompletionRate;
 use crate::program_order::{ProgramStage, QueuedCall, is_starving, program_order_key};
 use crate::retry_schedule::RetrySchedule;
-use crate::shares::{RankDemand, RankShare, ServiceRoom, allocate_shares};
+use crate::shares::{RankDemand, RankShare, ServiceCapacity, allocate_shares};
 use crate::waiting_list::{WaitingCall, WaitingList};
 
 /// Weight of a new sample in the average call duration.
@@ -43,7 +43,7 @@
     pub starvation_bound: Duration,
     /// Fraction of the program's time that its first call may wait, also when it is retried. Programs make about ten calls and
     /// may wait before each, so one that waits longer for the first ends late.
-    pub first_wait_share: f64,
+    pub max_first_wait_fraction: f64,
     /// Number unique to the node, from which nodes derive different rounding offsets for their shares. Otherwise shares of
     /// less than half a call at every node would leave engines idle.
     pub node_number: Option<u64>,
@@ -55,7 +55,7 @@
             max_waiting: 256,
             max_waiting_bytes: 8 << 20,
             starvation_bound: Duration::from_millis(1500),
-            first_wait_share: 0.1,
+            max_first_wait_fraction: 0.1,
             node_number: None,
         }
     }
@@ -63,7 +63,7 @@
 
 /// Why a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// It can't be answered before the caller stops waiting.
     CannotBeAnswered,
     /// Its program would start too late to end in time.
@@ -72,13 +72,13 @@
     QueueFull,
 }
 
-impl RefusalReason {
+impl RejectionReason {
     /// Value in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            RefusalReason::CannotBeAnswered => "cannot_be_answered",
-            RefusalReason::ProgramTooLate => "program_too_late",
-            RefusalReason::QueueFull => "queue_full",
+            RejectionReason::CannotBeAnswered => "cannot_be_answered",
+            RejectionReason::ProgramTooLate => "program_too_late",
+            RejectionReason::QueueFull => "queue_full",
         }
     }
 }
@@ -88,11 +88,11 @@
 #[allow(missing_docs)]
 pub enum ServiceQueueAction {
     /// The call is admitted and may be sent to an engine.
-    LetIn { ticket: QueueTicket, waited: Duration },
+    Admit { ticket: QueueTicket, waited: Duration },
     /// The call is rejected; it has not run.
-    Refuse {
+    Reject {
         ticket: QueueTicket,
-        reason: RefusalReason,
+        reason: RejectionReason,
         waited: Duration,
         /// Estimated further wait; zero where no estimate exists.
         expected_wait: Duration,
@@ -114,7 +114,7 @@
     waiting: WaitingList<QueueTicket, QueuedCall>,
     bytes: usize,
     running: BTreeMap<QueueTicket, RunningCall>,
-    capacity: Option<ServiceRoom>,
+    capacity: Option<ServiceCapacity>,
     peer_demand: Vec<RankDemand>,
     /// Average call duration at engines; `None` until a call completed.
     call_seconds: Option<f64>,
@@ -149,7 +149,7 @@
     }
 
     /// The capacity as last updated; `None` if unknown.
-    pub fn room(&self) -> Option<&ServiceRoom> {
+    pub fn capacity(&self) -> Option<&ServiceCapacity> {
         self.capacity.as_ref()
     }
 
@@ -167,9 +167,9 @@
     }
 
     /// Updates the capacity (`None` if unknown) and the demand of peers.
-    pub fn room_changed(
+    pub fn update_capacity(
         &mut self,
-        capacity: Option<ServiceRoom>,
+        capacity: Option<ServiceCapacity>,
         peer_demand: Vec<RankDemand>,
         now: Timestamp,
     ) -> Vec<ServiceQueueAction> {
@@ -179,7 +179,7 @@
     }
 
     /// Adds a call, which may be admitted or rejected at once.
-    pub fn arrived(
+    pub fn enqueue(
         &mut self,
         ticket: QueueTicket,
         call: QueuedCall,
@@ -193,7 +193,7 @@
             let expected_wait = self.expected_wait_at_end(&call, now);
             actions.push(self.rejection(
                 ticket,
-                RefusalReason::QueueFull,
+                RejectionReason::QueueFull,
                 Duration::ZERO,
                 expected_wait,
                 now,
@@ -211,7 +211,7 @@
     }
 
     /// Removes a call that no engine served. Unlike [`Self::ended`], this doesn't count as a completion.
-    pub fn gave_up(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
+    pub fn record_abandoned(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
         if self.take(ticket).is_none() {
             self.running.remove(&ticket);
         }
@@ -219,7 +219,7 @@
     }
 
     /// Removes a waiting call whose caller left, or completes one that was in flight.
-    pub fn ended(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
+    pub fn record_completed(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
         if self.take(ticket).is_none()
             && let Some(running) = self.running.remove(&ticket)
         {
@@ -229,8 +229,9 @@
         self.process_queue(now)
     }
 
-    /// Retry delay for a call that was admitted but that no engine accepted. [`Self::gave_up`] has to be called as well.
-    pub fn return_of_turned_away(&mut self, now: Timestamp) -> Duration {
+    /// Retry delay for a call that was admitted but that no engine accepted. [`Self::record_abandoned`] has to be
+    /// called as well.
+    pub fn retry_after_engine_rejection(&mut self, now: Timestamp) -> Duration {
         self.retry_schedule.schedule_retry(Duration::ZERO, self.completions.per_second(now), now)
     }
 
@@ -255,7 +256,7 @@
             let Some(waiting) = self.take(ticket) else { break };
             let rank = waiting.call.effective_rank(now);
             self.running.insert(ticket, RunningCall { rank, started_at: now });
-            actions.push(ServiceQueueAction::LetIn { ticket, waited: now.since(waiting.enqueued_at) });
+            actions.push(ServiceQueueAction::Admit { ticket, waited: now.since(waiting.enqueued_at) });
         }
         actions
     }
@@ -325,19 +326,20 @@
         waiting: &WaitingCall<QueuedCall>,
         wait: Duration,
         now: Timestamp,
-    ) -> Option<RefusalReason> {
+    ) -> Option<RejectionReason> {
         let call = &waiting.call;
         let admitted_at = now + wait;
         if !call.can_meet_deadline(admitted_at) {
-            return Some(RefusalReason::CannotBeAnswered);
+            return Some(RejectionReason::CannotBeAnswered);
         }
-        let program_end = call.program_end.filter(|_| call.stage != ProgramStage::UnderWay)?;
-        let max_wait = program_end.since(waiting.enqueued_at).mul_f64(self.settings.first_wait_share);
-        (admitted_at > waiting.enqueued_at + max_wait).then_some(RefusalReason::ProgramTooLate)
+        let program_deadline = call.program_deadline.filter(|_| call.stage != ProgramStage::UnderWay)?;
+        let max_wait =
+            program_deadline.since(waiting.enqueued_at).mul_f64(self.settings.max_first_wait_fraction);
+        (admitted_at > waiting.enqueued_at + max_wait).then_some(RejectionReason::ProgramTooLate)
     }
 
     /// Waiting calls that can't be served in time, with their expected waits.
-    fn find_unservable(&self, now: Timestamp) -> Vec<(QueueTicket, RefusalReason, Duration)> {
+    fn find_unservable(&self, now: Timestamp) -> Vec<(QueueTicket, RejectionReason, Duration)> {
         let mut rejected = Vec::new();
         if self.waiting.is_empty() {
             return rejected;
@@ -443,7 +445,7 @@
         let expected_wait = self.expected_wait_at_end(&waiting.call, now);
         Some(self.rejection(
             ticket,
-            RefusalReason::QueueFull,
+            RejectionReason::QueueFull,
             now.since(waiting.enqueued_at),
             expected_wait,
             now,
@@ -453,14 +455,14 @@
     fn rejection(
         &mut self,
         ticket: QueueTicket,
-        reason: RefusalReason,
+        reason: RejectionReason,
         waited: Duration,
         expected_wait: Duration,
         now: Timestamp,
     ) -> ServiceQueueAction {
         let retry_after =
             self.retry_schedule.schedule_retry(expected_wait, self.completions.per_second(now), now);
-        ServiceQueueAction::Refuse { ticket, reason, waited, expected_wait, retry_after }
+        ServiceQueueAction::Reject { ticket, reason, waited, expected_wait, retry_after }
     }
 
     fn take(&mut self, ticket: QueueTicket) -> Option<WaitingCall<QueuedCall>> {
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -29,7 +29,7 @@
 
 /// Capacity of a service's engines, in calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServiceRoom {
+pub struct ServiceCapacity {
     /// Calls that the engines process concurrently.
     pub slots: f64,
     /// Calls that may queue at the engines beyond the slots, so that no engine idles until the next call reaches it.
@@ -38,7 +38,7 @@
     pub unranked: f64,
 }
 
-impl ServiceRoom {
+impl ServiceCapacity {
     /// Maximum calls in flight for a rank and those above it. Ranks below the highest leave half of the short queue free,
     /// so that a call of the highest rank reaches an engine at once while lower ranks occupy all slots.
     fn limit(&self, is_highest: bool) -> f64 {
@@ -61,7 +61,11 @@
 /// Computes this node's shares, from the highest rank to the lowest, from its own demand and that of its peers.
 ///
 /// Higher ranks are served first; within a rank, nodes share in proportion to their demand.
-pub fn allocate_shares(capacity: &ServiceRoom, own: &[RankDemand], peers: &[RankDemand]) -> Vec<RankShare> {
+pub fn allocate_shares(
+    capacity: &ServiceCapacity,
+    own: &[RankDemand],
+    peers: &[RankDemand],
+) -> Vec<RankShare> {
     let mut ranks: Vec<PriorityRank> = own.iter().chain(peers).map(|demand| demand.rank).collect();
     ranks.sort_unstable();
     ranks.dedup();
--- a/crates/scheduling/src/work.rs
+++ b/crates/scheduling/src/work.rs
@@ -22,7 +22,7 @@
 /// A call to be placed on an engine.
 #[derive(Debug, Clone, PartialEq)]
 #[allow(missing_docs)]
-pub struct Work {
+pub struct EngineWork {
     pub call: CallId,
     pub program: ProgramId,
     pub tenant: TenantName,
@@ -36,7 +36,7 @@
     pub deadline: Option<Timestamp>,
 }
 
-impl Work {
+impl EngineWork {
     /// Estimated tokens of the whole prompt.
     pub fn prompt_tokens(&self) -> TokenCount {
         self.prefixes.last().map_or(0, |prefix| prefix.tokens)
--- a/crates/scheduling/tests/load_simulation/mod.rs
+++ b/crates/scheduling/tests/load_simulation/mod.rs
@@ -15,8 +15,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use sumacdrift_scheduling::{
-    ProgramStage, QueueTicket, QueuedCall, RankDemand, RefusalReason, ServiceQueue, ServiceQueueAction,
-    ServiceRoom,
+    ProgramStage, QueueTicket, QueuedCall, RankDemand, RejectionReason, ServiceCapacity, ServiceQueue,
+    ServiceQueueAction,
 };
 use sumacdrift_types::Timestamp;
 
@@ -230,8 +230,8 @@
         let Some(queue) = self.nodes[queue_node].queue.as_mut() else { return };
         for action in update(queue, now) {
             match action {
-                ServiceQueueAction::LetIn { ticket, waited } => self.admit(ticket.0 as usize, waited),
-                ServiceQueueAction::Refuse { ticket, reason, waited, retry_after, .. } => {
+                ServiceQueueAction::Admit { ticket, waited } => self.admit(ticket.0 as usize, waited),
+                ServiceQueueAction::Reject { ticket, reason, waited, retry_after, .. } => {
                     let call = ticket.0 as usize;
                     self.record_rejection(call, reason, waited, retry_after);
                     self.handle_rejection(call, retry_after);
@@ -248,7 +248,7 @@
         self.schedule_in(CALL_TIMEOUT, Event::Timeout { call });
         if self.nodes[self.scenario.queue_node(node)].queue.is_some() {
             let ticket = QueueTicket(call as u64);
-            self.update_queue(node, |queue, now| queue.arrived(ticket, queued, now));
+            self.update_queue(node, |queue, now| queue.enqueue(ticket, queued, now));
         } else {
             self.admit(call, Duration::ZERO);
         }
@@ -265,9 +265,9 @@
         QueuedCall {
             rank: record.rank,
             stage,
-            program_end: Some(record.deadline),
+            program_deadline: Some(record.deadline),
             deadline: self.now + CALL_TIMEOUT,
-            usual_time: CALL_TIME,
+            expected_duration: CALL_TIME,
             bytes: CALL_BYTES,
         }
     }
@@ -302,9 +302,9 @@
         let now = self.now;
         let queue = self.nodes[self.scenario.queue_node(node)].queue.as_mut();
         let retry_after =
-            queue.map_or(ENGINE_REJECTION_RETRY_DELAY, |queue| queue.return_of_turned_away(now));
+            queue.map_or(ENGINE_REJECTION_RETRY_DELAY, |queue| queue.retry_after_engine_rejection(now));
         self.handle_rejection(call, retry_after);
-        self.update_queue(node, |queue, now| queue.ended(QueueTicket(call as u64), now));
+        self.update_queue(node, |queue, now| queue.record_completed(QueueTicket(call as u64), now));
     }
 
     fn choose_engine(&mut self, node: usize) -> usize {
@@ -356,13 +356,13 @@
             self.nodes[node].own_calls[engine] -= 1;
             self.start_calls(engine);
         }
-        self.update_queue(node, |queue, now| queue.ended(QueueTicket(call as u64), now));
+        self.update_queue(node, |queue, now| queue.record_completed(QueueTicket(call as u64), now));
     }
 
     fn record_rejection(
         &mut self,
         call: usize,
-        reason: RefusalReason,
+        reason: RejectionReason,
         waited: Duration,
         retry_after: Duration,
     ) {
@@ -434,13 +434,13 @@
             }
         }
         self.nodes[node].peer_calls = peer_calls;
-        let capacity = ServiceRoom {
+        let capacity = ServiceCapacity {
             slots: self.scenario.slots(),
             short_queue: self.scenario.short_queue(),
             unranked: unranked as f64,
         };
         let peer_demand: Vec<RankDemand> = demand.into_values().collect();
-        self.update_queue(node, |queue, now| queue.room_changed(Some(capacity), peer_demand, now));
+        self.update_queue(node, |queue, now| queue.update_capacity(Some(capacity), peer_demand, now));
     }
 }
 
--- a/crates/scheduling/tests/load_simulation/outcome.rs
+++ b/crates/scheduling/tests/load_simulation/outcome.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use sumacdrift_scheduling::{PriorityRank, RefusalReason};
+use sumacdrift_scheduling::{PriorityRank, RejectionReason};
 use sumacdrift_types::Timestamp;
 
 use super::scenario::{CALL_TIME, CALL_TIMEOUT};
@@ -47,7 +47,7 @@
     pub rank: PriorityRank,
     /// Whether earlier calls of the program were answered.
     pub is_in_progress: bool,
-    pub reason: RefusalReason,
+    pub reason: RejectionReason,
     pub waited: Duration,
     pub retry_after: Duration,
 }
--- a/crates/scheduling/tests/service_queue.rs
+++ b/crates/scheduling/tests/service_queue.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use sumacdrift_scheduling::{
-    ProgramStage, QueueTicket, QueuedCall, RankDemand, RefusalReason, ServiceQueue, ServiceQueueAction,
-    ServiceQueueSettings, ServiceRoom,
+    ProgramStage, QueueTicket, QueuedCall, RankDemand, RejectionReason, ServiceCapacity, ServiceQueue,
+    ServiceQueueAction, ServiceQueueSettings,
 };
 use sumacdrift_types::Timestamp;
 
-const USUAL_TIME: Duration = Duration::from_millis(300);
+const EXPECTED_DURATION: Duration = Duration::from_millis(300);
 /// Tickets of the calls in flight before a full queue.
 const IN_FLIGHT: std::ops::Range<u64> = 1_000_000..1_000_003;
 
@@ -23,17 +23,17 @@
 }
 
 fn call(rank: u32, stage: ProgramStage, now: Timestamp) -> QueuedCall {
-    let program_end = Some(now + Duration::from_secs(60));
+    let program_deadline = Some(now + Duration::from_secs(60));
     let deadline = now + Duration::from_secs(30);
-    QueuedCall { rank, stage, program_end, deadline, usual_time: USUAL_TIME, bytes: 100 }
+    QueuedCall { rank, stage, program_deadline, deadline, expected_duration: EXPECTED_DURATION, bytes: 100 }
 }
 
 fn new_call(rank: u32, now: Timestamp) -> QueuedCall {
     call(rank, ProgramStage::New, now)
 }
 
-fn capacity(slots: f64) -> ServiceRoom {
-    ServiceRoom { slots, short_queue: 0.0, unranked: 0.0 }
+fn capacity(slots: f64) -> ServiceCapacity {
+    ServiceCapacity { slots, short_queue: 0.0, unranked: 0.0 }
 }
 
 fn queue_with_capacity(slots: f64) -> ServiceQueue {
@@ -42,7 +42,7 @@
 
 fn queue_with_settings(settings: ServiceQueueSettings, slots: f64) -> ServiceQueue {
     let mut queue = ServiceQueue::new(settings);
-    assert!(queue.room_changed(Some(capacity(slots)), Vec::new(), at(0)).is_empty());
+    assert!(queue.update_capacity(Some(capacity(slots)), Vec::new(), at(0)).is_empty());
     queue
 }
 
@@ -54,24 +54,24 @@
 fn full_queue_with(settings: ServiceQueueSettings, rank: u32) -> ServiceQueue {
     let mut queue = ServiceQueue::new(settings);
     for ticket in IN_FLIGHT {
-        assert_eq!(admitted(&queue.arrived(QueueTicket(ticket), new_call(rank, at(0)), at(0))), [ticket]);
+        assert_eq!(admitted(&queue.enqueue(QueueTicket(ticket), new_call(rank, at(0)), at(0))), [ticket]);
     }
-    assert!(queue.room_changed(Some(capacity(1.0)), Vec::new(), at(0)).is_empty());
+    assert!(queue.update_capacity(Some(capacity(1.0)), Vec::new(), at(0)).is_empty());
     queue
 }
 
 fn admitted(actions: &[ServiceQueueAction]) -> Vec<u64> {
     let ticket = |action: &ServiceQueueAction| match action {
-        ServiceQueueAction::LetIn { ticket, .. } => Some(ticket.0),
-        ServiceQueueAction::Refuse { .. } => None,
+        ServiceQueueAction::Admit { ticket, .. } => Some(ticket.0),
+        ServiceQueueAction::Reject { .. } => None,
     };
     actions.iter().filter_map(ticket).collect()
 }
 
-fn rejected(actions: &[ServiceQueueAction]) -> Vec<(u64, RefusalReason)> {
+fn rejected(actions: &[ServiceQueueAction]) -> Vec<(u64, RejectionReason)> {
     let ticket = |action: &ServiceQueueAction| match action {
-        ServiceQueueAction::Refuse { ticket, reason, .. } => Some((ticket.0, *reason)),
-        ServiceQueueAction::LetIn { .. } => None,
+        ServiceQueueAction::Reject { ticket, reason, .. } => Some((ticket.0, *reason)),
+        ServiceQueueAction::Admit { .. } => None,
     };
     actions.iter().filter_map(ticket).collect()
 }
@@ -81,7 +81,7 @@
     let mut order = Vec::new();
     let mut running: Vec<u64> = IN_FLIGHT.collect();
     while let Some(ticket) = running.pop() {
-        let next = admitted(&queue.ended(QueueTicket(ticket), now));
+        let next = admitted(&queue.record_completed(QueueTicket(ticket), now));
         order.extend(&next);
         running.extend(next);
     }
@@ -92,7 +92,7 @@
 fn all_calls_are_admitted_while_capacity_is_unknown() {
     let mut queue = ServiceQueue::new(ServiceQueueSettings::default());
     for ticket in 0..1_000 {
-        assert_eq!(admitted(&queue.arrived(QueueTicket(ticket), new_call(2, at(0)), at(0))), [ticket]);
+        assert_eq!(admitted(&queue.enqueue(QueueTicket(ticket), new_call(2, at(0)), at(0))), [ticket]);
     }
 }
 
@@ -100,9 +100,9 @@
 fn a_call_is_removed_when_its_caller_leaves() {
     let mut queue = full_queue();
     for ticket in 1..=3 {
-        assert!(queue.arrived(QueueTicket(ticket), new_call(0, at(0)), at(0)).is_empty());
+        assert!(queue.enqueue(QueueTicket(ticket), new_call(0, at(0)), at(0)).is_empty());
     }
-    assert!(queue.ended(QueueTicket(1), at(1)).is_empty());
+    assert!(queue.record_completed(QueueTicket(1), at(1)).is_empty());
     assert_eq!(queue.waiting(), 2);
     let waiting: f64 = queue.demand(at(1)).iter().map(|demand| demand.waiting).sum();
     assert_eq!(waiting, 2.0);
@@ -112,12 +112,12 @@
 #[test]
 fn a_full_queue_rejects_the_last_call_in_order() {
     let mut queue = full_queue_with(ServiceQueueSettings { max_waiting: 2, ..Default::default() }, 0);
-    assert!(queue.arrived(QueueTicket(1), new_call(2, at(0)), at(0)).is_empty());
-    assert!(queue.arrived(QueueTicket(2), new_call(1, at(1)), at(1)).is_empty());
-    let actions = queue.arrived(QueueTicket(3), new_call(0, at(2)), at(2));
-    assert_eq!(rejected(&actions), [(1, RefusalReason::QueueFull)]);
-    let actions = queue.arrived(QueueTicket(4), new_call(2, at(3)), at(3));
-    assert_eq!(rejected(&actions), [(4, RefusalReason::QueueFull)]);
+    assert!(queue.enqueue(QueueTicket(1), new_call(2, at(0)), at(0)).is_empty());
+    assert!(queue.enqueue(QueueTicket(2), new_call(1, at(1)), at(1)).is_empty());
+    let actions = queue.enqueue(QueueTicket(3), new_call(0, at(2)), at(2));
+    assert_eq!(rejected(&actions), [(1, RejectionReason::QueueFull)]);
+    let actions = queue.enqueue(QueueTicket(4), new_call(2, at(3)), at(3));
+    assert_eq!(rejected(&actions), [(4, RejectionReason::QueueFull)]);
     assert_eq!(admission_order(&mut queue, at(4)), [3, 2]);
 }
 
@@ -125,26 +125,26 @@
 fn waiting_calls_stay_within_the_byte_limit() {
     let mut queue = full_queue_with(ServiceQueueSettings { max_waiting_bytes: 250, ..Default::default() }, 0);
     for ticket in [1, 2] {
-        assert!(queue.arrived(QueueTicket(ticket), new_call(1, at(ticket)), at(ticket)).is_empty());
+        assert!(queue.enqueue(QueueTicket(ticket), new_call(1, at(ticket)), at(ticket)).is_empty());
     }
-    let actions = queue.arrived(QueueTicket(3), new_call(1, at(3)), at(3));
-    assert_eq!(rejected(&actions), [(3, RefusalReason::QueueFull)]);
-    let actions = queue.arrived(QueueTicket(4), new_call(0, at(4)), at(4));
-    assert_eq!(rejected(&actions), [(2, RefusalReason::QueueFull)]);
+    let actions = queue.enqueue(QueueTicket(3), new_call(1, at(3)), at(3));
+    assert_eq!(rejected(&actions), [(3, RejectionReason::QueueFull)]);
+    let actions = queue.enqueue(QueueTicket(4), new_call(0, at(4)), at(4));
+    assert_eq!(rejected(&actions), [(2, RejectionReason::QueueFull)]);
 }
 
 #[test]
 fn a_large_call_displaces_only_as_many_calls_as_it_needs() {
     let mut queue = full_queue_with(ServiceQueueSettings { max_waiting_bytes: 250, ..Default::default() }, 0);
     for ticket in [1, 2] {
-        assert!(queue.arrived(QueueTicket(ticket), new_call(1, at(ticket)), at(ticket)).is_empty());
+        assert!(queue.enqueue(QueueTicket(ticket), new_call(1, at(ticket)), at(ticket)).is_empty());
     }
     let large = QueuedCall { bytes: 250, ..new_call(0, at(3)) };
-    let actions = queue.arrived(QueueTicket(3), large, at(3));
-    assert_eq!(rejected(&actions), [(2, RefusalReason::QueueFull), (1, RefusalReason::QueueFull)]);
+    let actions = queue.enqueue(QueueTicket(3), large, at(3));
+    assert_eq!(rejected(&actions), [(2, RejectionReason::QueueFull), (1, RejectionReason::QueueFull)]);
     let too_large = QueuedCall { bytes: 251, ..new_call(0, at(4)) };
-    let actions = queue.arrived(QueueTicket(4), too_large, at(4));
-    assert_eq!(rejected(&actions), [(4, RefusalReason::QueueFull)]);
+    let actions = queue.enqueue(QueueTicket(4), too_large, at(4));
+    assert_eq!(rejected(&actions), [(4, RejectionReason::QueueFull)]);
     assert_eq!(admission_order(&mut queue, at(5)), [3]);
 }
 
@@ -152,9 +152,9 @@
 fn a_starving_call_is_admitted_first() {
     let bound = ServiceQueueSettings::default().starvation_bound;
     let mut queue = full_queue();
-    assert!(queue.arrived(QueueTicket(1), new_call(2, at(0)), at(0)).is_empty());
+    assert!(queue.enqueue(QueueTicket(1), new_call(2, at(0)), at(0)).is_empty());
     let later = at(0) + bound;
-    assert!(queue.arrived(QueueTicket(2), new_call(0, later), later).is_empty());
+    assert!(queue.enqueue(QueueTicket(2), new_call(0, later), later).is_empty());
     assert_eq!(admission_order(&mut queue, later), [1, 2]);
 }
 
@@ -163,9 +163,9 @@
     let bound = ServiceQueueSettings::default().starvation_bound;
     let mut queue = full_queue();
     let low_rank_call = QueuedCall { deadline: at(100_000), ..call(2, ProgramStage::UnderWay, at(1)) };
-    assert!(queue.arrived(QueueTicket(1), low_rank_call, at(1)).is_empty());
+    assert!(queue.enqueue(QueueTicket(1), low_rank_call, at(1)).is_empty());
     let later = at(0) + bound;
-    assert!(queue.arrived(QueueTicket(2), new_call(0, later), later).is_empty());
+    assert!(queue.enqueue(QueueTicket(2), new_call(0, later), later).is_empty());
     assert_eq!(admission_order(&mut queue, later), [2, 1]);
 }
 
@@ -174,13 +174,13 @@
     let bound = ServiceQueueSettings::default().starvation_bound;
     let mut queue = full_queue_with(ServiceQueueSettings::default(), 2);
     let late = QueuedCall {
-        program_end: Some(at(100)),
+        program_deadline: Some(at(100)),
         deadline: at(100_000),
         ..call(0, ProgramStage::UnderWay, at(0))
     };
-    assert!(queue.arrived(QueueTicket(1), late, at(0)).is_empty());
+    assert!(queue.enqueue(QueueTicket(1), late, at(0)).is_empty());
     let later = at(0) + bound;
-    assert!(queue.arrived(QueueTicket(2), new_call(2, later), later).is_empty());
+    assert!(queue.enqueue(QueueTicket(2), new_call(2, later), later).is_empty());
     assert_eq!(admission_order(&mut queue, later), [2, 1]);
 }
 
@@ -189,7 +189,7 @@
     let mut queue = full_queue();
     let stages = [ProgramStage::New, ProgramStage::Returning, ProgramStage::UnderWay];
     for (ticket, stage) in (1..).zip(stages) {
-        assert!(queue.arrived(QueueTicket(ticket), call(0, stage, at(ticket)), at(ticket)).is_empty());
+        assert!(queue.enqueue(QueueTicket(ticket), call(0, stage, at(ticket)), at(ticket)).is_empty());
     }
     assert_eq!(admission_order(&mut queue, at(10)), [3, 2, 1]);
 }
@@ -198,8 +198,9 @@
 fn the_program_with_the_earliest_deadline_is_admitted_first() {
     let mut queue = full_queue();
     for (ticket, end) in [(1, 40_000), (2, 20_000), (3, 30_000)] {
-        let call = QueuedCall { program_end: Some(at(end)), ..call(0, ProgramStage::UnderWay, at(ticket)) };
-        assert!(queue.arrived(QueueTicket(ticket), call, at(ticket)).is_empty());
+        let call =
+            QueuedCall { program_deadline: Some(at(end)), ..call(0, ProgramStage::UnderWay, at(ticket)) };
+        assert!(queue.enqueue(QueueTicket(ticket), call, at(ticket)).is_empty());
     }
     assert_eq!(admission_order(&mut queue, at(10)), [2, 3, 1]);
 }
@@ -208,24 +209,24 @@
 fn a_call_is_rejected_once_it_cannot_meet_its_deadline() {
     let mut queue = full_queue();
     let short = QueuedCall { deadline: at(400), ..call(0, ProgramStage::UnderWay, at(0)) };
-    assert!(queue.arrived(QueueTicket(1), short, at(0)).is_empty());
+    assert!(queue.enqueue(QueueTicket(1), short, at(0)).is_empty());
     assert!(queue.tick(at(100)).is_empty());
-    assert_eq!(rejected(&queue.tick(at(200))), [(1, RefusalReason::CannotBeAnswered)]);
+    assert_eq!(rejected(&queue.tick(at(200))), [(1, RejectionReason::CannotBeAnswered)]);
 }
 
 #[test]
 fn a_first_call_is_rejected_once_its_program_would_start_too_late_even_when_retried() {
-    let share = ServiceQueueSettings::default().first_wait_share;
+    let share = ServiceQueueSettings::default().max_first_wait_fraction;
     for stage in [ProgramStage::New, ProgramStage::Returning] {
         let mut queue = full_queue();
         let max_wait = Duration::from_secs(60).mul_f64(share);
-        assert!(queue.arrived(QueueTicket(1), call(0, stage, at(0)), at(0)).is_empty());
+        assert!(queue.enqueue(QueueTicket(1), call(0, stage, at(0)), at(0)).is_empty());
         assert!(queue.tick(at(0) + max_wait).is_empty());
         let later = at(1) + max_wait;
-        assert_eq!(rejected(&queue.tick(later)), [(1, RefusalReason::ProgramTooLate)]);
+        assert_eq!(rejected(&queue.tick(later)), [(1, RejectionReason::ProgramTooLate)]);
     }
     let mut queue = full_queue();
-    assert!(queue.arrived(QueueTicket(1), call(0, ProgramStage::UnderWay, at(0)), at(0)).is_empty());
+    assert!(queue.enqueue(QueueTicket(1), call(0, ProgramStage::UnderWay, at(0)), at(0)).is_empty());
     assert!(
         queue.tick(at(20_000)).is_empty(),
         "calls of programs in progress wait as long as they can be answered"
@@ -236,12 +237,12 @@
 fn a_higher_rank_does_not_wait_for_lower_ranks_that_exceed_their_share() {
     let mut queue = queue_with_capacity(4.0);
     for ticket in 0..4 {
-        assert_eq!(admitted(&queue.arrived(QueueTicket(ticket), new_call(2, at(0)), at(0))), [ticket]);
+        assert_eq!(admitted(&queue.enqueue(QueueTicket(ticket), new_call(2, at(0)), at(0))), [ticket]);
     }
     // By the demand that a peer reports, this node has far more calls of rank 2 in flight than its share.
     let peer_demand = vec![RankDemand { rank: 0, running: 2.0, waiting: 0.0 }];
-    assert!(queue.room_changed(Some(capacity(4.0)), peer_demand, at(1)).is_empty());
-    assert_eq!(admitted(&queue.arrived(QueueTicket(9), new_call(0, at(2)), at(2))), [9]);
+    assert!(queue.update_capacity(Some(capacity(4.0)), peer_demand, at(1)).is_empty());
+    assert_eq!(admitted(&queue.enqueue(QueueTicket(9), new_call(0, at(2)), at(2))), [9]);
 }
 
 /// Expected state of each call during random operations.
@@ -255,13 +256,13 @@
 impl CallStates {
     fn record_actions(&mut self, actions: &[ServiceQueueAction], seed: u64) {
         for action in actions {
-            let (ServiceQueueAction::LetIn { ticket, .. } | ServiceQueueAction::Refuse { ticket, .. }) =
+            let (ServiceQueueAction::Admit { ticket, .. } | ServiceQueueAction::Reject { ticket, .. }) =
                 action;
             let waited = self.waiting.remove(&ticket.0);
             assert!(waited.is_some(), "seed {seed}: {ticket:?} was not waiting: {action:?}");
             match action {
-                ServiceQueueAction::LetIn { .. } => self.running.insert(ticket.0),
-                ServiceQueueAction::Refuse { .. } => self.ended_calls.insert(ticket.0),
+                ServiceQueueAction::Admit { .. } => self.running.insert(ticket.0),
+                ServiceQueueAction::Reject { .. } => self.ended_calls.insert(ticket.0),
             };
         }
     }
@@ -270,20 +271,20 @@
 fn random_call(random: &mut ChaCha8Rng, now: Timestamp) -> QueuedCall {
     let mut below = |bound: u64| random.next_u64() % bound;
     let stage = [ProgramStage::New, ProgramStage::Returning, ProgramStage::UnderWay][below(3) as usize];
-    let program_end = (below(4) > 0).then(|| now + Duration::from_millis(below(8_000)));
+    let program_deadline = (below(4) > 0).then(|| now + Duration::from_millis(below(8_000)));
     QueuedCall {
         rank: below(4) as u32,
         stage,
-        program_end,
+        program_deadline,
         deadline: now + Duration::from_millis(below(5_000)),
-        usual_time: Duration::from_millis(1 + below(600)),
+        expected_duration: Duration::from_millis(1 + below(600)),
         bytes: below(400) as usize,
     }
 }
 
-fn random_capacity(random: &mut ChaCha8Rng) -> (ServiceRoom, Vec<RankDemand>) {
+fn random_capacity(random: &mut ChaCha8Rng) -> (ServiceCapacity, Vec<RankDemand>) {
     let mut below = |bound: u64| (random.next_u64() % bound) as f64;
-    let capacity = ServiceRoom { slots: below(30), short_queue: below(8), unranked: below(12) };
+    let capacity = ServiceCapacity { slots: below(30), short_queue: below(8), unranked: below(12) };
     let demand = |rank| RankDemand { rank, running: below(20), waiting: below(20) };
     (capacity, (0..3).map(demand).collect())
 }
@@ -314,7 +315,7 @@
                     let call = random_call(&mut random, now);
                     arrived += 1;
                     states.waiting.insert(arrived, call.bytes);
-                    queue.arrived(QueueTicket(arrived), call, now)
+                    queue.enqueue(QueueTicket(arrived), call, now)
                 }
                 4 | 5 => {
                     match pick_ticket(
@@ -324,7 +325,7 @@
                         Some(ticket) => {
                             states.running.remove(&ticket);
                             states.ended_calls.insert(ticket);
-                            queue.ended(QueueTicket(ticket), now)
+                            queue.record_completed(QueueTicket(ticket), now)
                         }
                         None => queue.tick(now),
                     }
@@ -336,13 +337,13 @@
                     Some(ticket) => {
                         states.waiting.remove(&ticket);
                         states.ended_calls.insert(ticket);
-                        queue.ended(QueueTicket(ticket), now)
+                        queue.record_completed(QueueTicket(ticket), now)
                     }
                     None => queue.tick(now),
                 },
                 _ => {
                     let (capacity, peer_demand) = random_capacity(&mut random);
-                    queue.room_changed(Some(capacity), peer_demand, now)
+                    queue.update_capacity(Some(capacity), peer_demand, now)
                 }
             };
             states.record_actions(&actions, seed);
@@ -365,7 +366,7 @@
         let mut queue = full_queue();
         let mut action_count = 0;
         for ticket in 1..=arriving {
-            let actions = queue.arrived(QueueTicket(ticket), new_call(ticket as u32 % 3, at(1)), at(1));
+            let actions = queue.enqueue(QueueTicket(ticket), new_call(ticket as u32 % 3, at(1)), at(1));
             assert!(actions.len() <= 1, "an arriving call causes at most one action");
             action_count += actions.len();
             assert!(queue.waiting() <= settings.max_waiting);
@@ -385,9 +386,9 @@
                 ServiceQueueSettings { node_number: Some(number), ..ServiceQueueSettings::default() };
             let mut queue = ServiceQueue::new(settings);
             let peer_demand = vec![RankDemand { rank: 0, running: 0.0, waiting: (nodes - 1) as f64 }];
-            queue.room_changed(Some(capacity(4.0)), peer_demand, at(second * 1_000));
+            queue.update_capacity(Some(capacity(4.0)), peer_demand, at(second * 1_000));
             let call = call(0, ProgramStage::UnderWay, at(second * 1_000));
-            !queue.arrived(QueueTicket(1), call, at(second * 1_000)).is_empty()
+            !queue.enqueue(QueueTicket(1), call, at(second * 1_000)).is_empty()
         };
         (0..nodes).filter(is_admitted).count()
     };
@@ -401,12 +402,12 @@
 #[test]
 fn an_abandoned_call_does_not_count_as_completed() {
     let mut queue = ServiceQueue::new(ServiceQueueSettings::default());
-    queue.room_changed(Some(capacity(1.0)), Vec::new(), at(0));
-    queue.arrived(QueueTicket(1), call(0, ProgramStage::UnderWay, at(0)), at(0));
-    queue.gave_up(QueueTicket(1), at(1));
+    queue.update_capacity(Some(capacity(1.0)), Vec::new(), at(0));
+    queue.enqueue(QueueTicket(1), call(0, ProgramStage::UnderWay, at(0)), at(0));
+    queue.record_abandoned(QueueTicket(1), at(1));
     assert_eq!(queue.running(), 0);
     // No completion was recorded, so the default delay applies.
-    assert_eq!(queue.return_of_turned_away(at(2)), Duration::from_millis(250));
+    assert_eq!(queue.retry_after_engine_rejection(at(2)), Duration::from_millis(250));
 }
 
 /// Guards against rejecting the only waiting call for its size.
@@ -414,8 +415,8 @@
 fn a_call_beyond_the_byte_limit_is_admitted_where_capacity_is_free() {
     let mut queue =
         ServiceQueue::new(ServiceQueueSettings { max_waiting_bytes: 10, ..ServiceQueueSettings::default() });
-    queue.room_changed(Some(capacity(1.0)), Vec::new(), at(0));
+    queue.update_capacity(Some(capacity(1.0)), Vec::new(), at(0));
     let large = QueuedCall { bytes: 100, ..call(0, ProgramStage::UnderWay, at(0)) };
-    let actions = queue.arrived(QueueTicket(1), large, at(0));
-    assert!(matches!(actions[..], [ServiceQueueAction::LetIn { .. }]), "{actions:?}");
+    let actions = queue.enqueue(QueueTicket(1), large, at(0));
+    assert!(matches!(actions[..], [ServiceQueueAction::Admit { .. }]), "{actions:?}");
 }
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -9,7 +9,7 @@
     Answer, BeginService, BeginTurn, BudgetLimits, Command, FinishTurn, KnownPrefix, Reply, RunTurn,
     ServiceResponse,
 };
-use sumacdrift_scheduling::{FinishedWork, QueueEffect, Release, Work, context_prefixes};
+use sumacdrift_scheduling::{EngineWork, FinishedWork, QueueEffect, Release, context_prefixes};
 use sumacdrift_types::{
     CallId, ChatMessage, HistoryMode, Incarnation, Problem, ResultCode, TenantName, Timestamp, Usage,
 };
@@ -305,7 +305,7 @@
         let owner = self.nodes[node].owner_of(engine, self.now);
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
         let Some(request) = task.turn_request().cloned() else { return };
-        let work = Work {
+        let work = EngineWork {
             call,
             program: request.program.clone(),
             tenant: tenant(),
@@ -336,7 +336,7 @@
     fn next_attempt(&mut self, node: usize, call: CallId, run: RunTurn, engine: usize, failure: Failure) {
         let now = self.now;
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
-        if let Next::Try { .. } = task.machine.failed(&engine_id(engine), failure, now) {
+        if let Next::Try { .. } = task.machine.record_failure(&engine_id(engine), failure, now) {
             self.place(node, call, run);
             return;
         }
@@ -357,7 +357,14 @@
     }
 
     /// A call arrives at an engine's owner.
-    pub(crate) fn enqueue(&mut self, node: usize, from: usize, exchange: u64, engine: usize, work: Work) {
+    pub(crate) fn enqueue(
+        &mut self,
+        node: usize,
+        from: usize,
+        exchange: u64,
+        engine: usize,
+        work: EngineWork,
+    ) {
         let waiter = Waiter { node: from, incarnation: self.nodes[from].incarnation, exchange };
         let now = self.now;
         self.nodes[node].queue_waiting.insert(work.call, waiter);
@@ -369,7 +376,7 @@
         for effect in effects {
             let (call, outcome) = match effect {
                 QueueEffect::Grant { call } => (call, Ok(())),
-                QueueEffect::Refuse { call, problem } => (call, Err(problem)),
+                QueueEffect::Reject { call, problem } => (call, Err(problem)),
             };
             if let Some(waiter) = self.nodes[node].queue_waiting.remove(&call) {
                 let exchange = waiter.exchange;
@@ -382,7 +389,7 @@
         let now = self.now;
         self.nodes[node].queue_waiting.remove(&call);
         let queue = self.nodes[node].queue(engine);
-        queue.forget(call);
+        queue.cancel(call);
         let release = Release { call, finished: None, is_engine_fault: false };
         let effects = queue.release(release, now);
         self.queue_effects(node, effects);
@@ -412,8 +419,8 @@
         self.memory[engine].insert(request.program.clone());
         let tokens = run.output_tokens.min(request.wanted_output);
         self.oracle.engine_generated(&request.program, tokens);
-        task.machine.sent(&engine_id(engine));
-        task.machine.head_given();
+        task.machine.record_sent(&engine_id(engine));
+        task.machine.record_head_sent();
         task.generated += tokens;
         task.engines.push(engine);
         task.exchange = self.next_exchange;
@@ -435,8 +442,8 @@
         let usage = Usage { prompt_tokens: 1, cached_tokens: 0, output_tokens: task.generated };
         let finished = FinishedWork {
             usage,
-            first_token: Duration::from_millis(10),
-            decoding: Duration::from_millis(10),
+            time_to_first_token: Duration::from_millis(10),
+            decode_time: Duration::from_millis(10),
             end: None,
         };
         let release = Release { call, finished: (!is_cut).then_some(finished), is_engine_fault: is_cut };
@@ -473,7 +480,7 @@
         let incarnation = self.nodes[node].incarnation;
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
             task.stage = Stage::RunningService;
-            task.machine.sent(&EngineId::new(SERVICE));
+            task.machine.record_sent(&EngineId::new(SERVICE));
         }
         let is_hung = self.hangs_tools && self.random.random_bool(0.6);
         let way = Duration::from_millis(self.random.random_range(1..30));
@@ -502,7 +509,7 @@
         let Some(key) = ledger_key(key) else { return };
         if is_lost {
             let mut machine = task.machine.clone();
-            let next = machine.failed(&EngineId::new(SERVICE), Failure::Lost, self.now);
+            let next = machine.record_failure(&EngineId::new(SERVICE), Failure::Lost, self.now);
             debug_assert!(matches!(next, Next::Fail { .. }), "a call that runs once is never tried again");
             let problem = Problem::not_run(ResultCode::BackEndCut, "the service's answer is lost");
             let problem = problem.with_ran(machine.ran());
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -138,7 +138,7 @@
                 ..QueueSettings::default()
             };
             let mut queue = EngineQueue::new(engine_name(engine), settings);
-            queue.set_leaving(is_leaving);
+            queue.set_draining(is_leaving);
             queue
         })
     }
--- a/crates/simulation/src/packet.rs
+++ b/crates/simulation/src/packet.rs
@@ -3,7 +3,7 @@
 use sumacdrift_config::Versioned;
 use sumacdrift_program::{Command, Reply};
 use sumacdrift_replication::{Message, ReplicaId};
-use sumacdrift_scheduling::{Release, Work};
+use sumacdrift_scheduling::{EngineWork, Release};
 use sumacdrift_types::{
     CallId, ChatMessage, EngineName, Generation, HistoryMode, Problem, ProgramId, TurnNumber,
 };
@@ -30,7 +30,7 @@
     Group { from: ReplicaId, to: ReplicaId, message: Message },
     Command { exchange: u64, command: Command },
     CommandAnswer { exchange: u64, answer: CommandAnswer },
-    Enqueue { exchange: u64, engine: usize, work: Box<Work> },
+    Enqueue { exchange: u64, engine: usize, work: Box<EngineWork> },
     EnqueueAnswer { exchange: u64, outcome: Result<(), Problem> },
     Release { engine: usize, release: Release },
     Forget { engine: usize, call: CallId },
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -433,7 +433,7 @@
         }
         let engines: Vec<usize> = self.nodes[node].queues.keys().copied().collect();
         for engine in engines {
-            let effects = self.nodes[node].queue(engine).set_leaving(leaving.contains(&engine));
+            let effects = self.nodes[node].queue(engine).set_draining(leaving.contains(&engine));
             self.queue_effects(node, effects);
         }
         // News goes out at once, not only with the next heartbeat.
--- a/crates/storage/src/begin_turn.rs
+++ b/crates/storage/src/begin_turn.rs
@@ -38,7 +38,7 @@
     pub previous: String,
     /// Whether the content of the chain must be returned.
     pub needs_chain: bool,
-    /// Encoded [`sumacdrift_fleet_view::News`] sent along with the request.
+    /// Encoded [`sumacdrift_fleet_view::NodeReport`] sent along with the request.
     pub news: Bytes,
 }
 
--- a/crates/storage/src/client.rs
+++ b/crates/storage/src/client.rs
@@ -13,7 +13,7 @@
     ReplyKind, RequestKind, TurnEnded,
 };
 use sumacdrift_transport::Transport;
-use sumacdrift_types::{Location, Mechanism, SwitchedOff};
+use sumacdrift_types::{DisabledMechanisms, Location, Mechanism};
 use tokio::time::Instant;
 
 use crate::begin_turn::{Admission, BeginTurn, LedgerError, LedgerTimeouts};
@@ -63,7 +63,7 @@
     retry_budget: Arc<RetryBudget>,
     views: OnceLock<Arc<dyn ViewSink>>,
     undecided_log_limiter: Mutex<UndecidedLogLimiter>,
-    off: SwitchedOff,
+    off: DisabledMechanisms,
     logger: Logger,
 }
 
@@ -75,12 +75,12 @@
         timeouts: LedgerTimeouts,
         logger: Logger,
     ) -> Self {
-        Self::without(SwitchedOff::default(), transport, location, timeouts, logger)
+        Self::without(DisabledMechanisms::default(), transport, location, timeouts, logger)
     }
 
     /// Creates a client that knows no group yet, with some mechanisms switched off.
     pub fn without(
-        off: SwitchedOff,
+        off: DisabledMechanisms,
         transport: Arc<Transport>,
         location: Location,
         timeouts: LedgerTimeouts,
@@ -124,7 +124,7 @@
 
     /// Sets the relays to members that this node cannot reach.
     pub fn learn_relays(&self, relays: Vec<SocketAddr>) {
-        if self.off.allows(Mechanism::Relays) {
+        if self.off.is_enabled(Mechanism::Relays) {
             self.member_client.routes().learn_relays(relays);
         }
     }
@@ -409,7 +409,7 @@
 
     /// Whether a mechanism is switched on.
     pub(crate) fn allows(&self, mechanism: Mechanism) -> bool {
-        self.off.allows(mechanism)
+        self.off.is_enabled(mechanism)
     }
 
     pub(crate) fn member_selection(&self) -> MutexGuard<'_, MemberSelection> {
--- a/crates/storage/src/group_maintenance.rs
+++ b/crates/storage/src/group_maintenance.rs
@@ -11,7 +11,7 @@
     Candidate, Capacity, ChangeReason, Group, GroupMap, GroupPolicy, Member, Patience, PlaceStep,
 };
 use sumacdrift_transport::Transport;
-use sumacdrift_types::Places;
+use sumacdrift_types::Topology;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
@@ -48,7 +48,7 @@
     /// Target size of the groups.
     pub policy: GroupPolicy,
     /// Region of each zone.
-    pub places: Arc<Places>,
+    pub places: Arc<Topology>,
     /// Time within which a machine that starts empty must vote in place of a lost one. Until then the
     /// deployment counts the loss, and another one may follow after it.
     pub complete_within: Duration,
--- a/crates/storage/src/host.rs
+++ b/crates/storage/src/host.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 use slog::{Logger, error, info, warn};
 use sumacdrift_dissemination::Snapshot;
-use sumacdrift_fleet_view::BoardNews;
+use sumacdrift_fleet_view::BoardReport;
 use sumacdrift_journal::{
     Disk, FolderDisk, Journal, JournalError, JournalFailure, JournalSettings, JournalWriter,
 };
@@ -486,7 +486,7 @@
     }
 
     /// News of this node's board for other boards.
-    pub(crate) fn board_news(&self, node: &str) -> Option<BoardNews> {
+    pub(crate) fn board_news(&self, node: &str) -> Option<BoardReport> {
         self.news.for_boards(node)
     }
 
--- a/crates/storage/src/news_board.rs
+++ b/crates/storage/src/news_board.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use prost::Message;
-use sumacdrift_fleet_view::{Board, BoardNews, BoardSizes, News};
+use sumacdrift_fleet_view::{BoardLimits, BoardReport, NodeReport, ReportBoard};
 use sumacdrift_ledger::{LedgerReply, ReplyKind};
 use sumacdrift_types::Timestamp;
 use tokio::time::Instant;
@@ -18,7 +18,7 @@
 
 /// Consumer of the views that replica hosts send along with replies.
 pub trait ViewSink: Send + Sync + 'static {
-    /// Accepts an encoded [`sumacdrift_fleet_view::View`].
+    /// Accepts an encoded [`sumacdrift_fleet_view::PeerView`].
     fn take(&self, view: Bytes);
 }
 
@@ -33,14 +33,14 @@
 
 /// Board of a replica host.
 pub(crate) struct NewsBoard {
-    board: Mutex<Board>,
+    board: Mutex<ReportBoard>,
     started: Instant,
 }
 
 impl NewsBoard {
     pub(crate) fn new() -> Self {
-        let sizes = BoardSizes { parts: MAX_BOARD_PARTS, keep_parts_for: PART_TTL };
-        Self { board: Mutex::new(Board::new(sizes)), started: Instant::now() }
+        let limits = BoardLimits { parts: MAX_BOARD_PARTS, part_ttl: PART_TTL };
+        Self { board: Mutex::new(ReportBoard::new(limits)), started: Instant::now() }
     }
 
     /// Records the news of a node; returns the encoded view for it, empty if it sent no readable news.
@@ -49,21 +49,21 @@
             return Bytes::new();
         }
         // Malformed news are dropped; the request that carried them is answered all the same.
-        let Ok(news) = News::decode(news) else { return Bytes::new() };
+        let Ok(news) = NodeReport::decode(news) else { return Bytes::new() };
         let view = self.board().exchange(news, self.now());
         Bytes::from(view.encode_to_vec())
     }
 
     /// News of the edges of this board, for other boards.
-    pub(crate) fn for_boards(&self, node: &str) -> Option<BoardNews> {
-        self.board().for_boards(node, self.now())
+    pub(crate) fn for_boards(&self, node: &str) -> Option<BoardReport> {
+        self.board().report_for_boards(node, self.now())
     }
 
     fn now(&self) -> Timestamp {
         Timestamp::default() + self.started.elapsed()
     }
 
-    fn board(&self) -> MutexGuard<'_, Board> {
+    fn board(&self) -> MutexGuard<'_, ReportBoard> {
         self.board.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/storage/src/quota_host.rs
+++ b/crates/storage/src/quota_host.rs
@@ -68,7 +68,7 @@
             limit,
             version: question.version,
         };
-        let verdict = counters.ask(call, &members, now);
+        let verdict = counters.check_call(call, &members, now);
         if counters.is_report_due() {
             self.report_due.notify_one();
         }
@@ -97,12 +97,12 @@
         let totals = totals.collect();
         let report = CallReport { node: report.node, life: report.life, is_warm: report.is_warm, totals };
         let now = self.now();
-        self.counters().heard(report, now);
+        self.counters().apply_report(report, now);
     }
 
     /// Records that a member acknowledged the report made at this time.
     fn record_acknowledgement(&self, member: &str, reported_at: Timestamp) {
-        self.counters().acknowledged(member, reported_at);
+        self.counters().record_acknowledgement(member, reported_at);
     }
 
     /// Totals to report to the other members of `group`.
--- a/crates/storage/src/zone_boards.rs
+++ b/crates/storage/src/zone_boards.rs
@@ -53,10 +53,10 @@
         }
         let Some(report) = host.board_news(&node) else { continue };
         let mut others = primary_boards(&map);
-        let heard_of = map.members().filter(|member| report.heard_of.contains(&member.node));
-        others.extend(heard_of.map(|member| (member.node.as_str(), member)));
+        let reporting_boards = map.members().filter(|member| report.reporting_boards.contains(&member.node));
+        others.extend(reporting_boards.map(|member| (member.node.as_str(), member)));
         others.remove(node.as_str());
-        let request = encode_news(report.news.encode_to_vec().into());
+        let request = encode_news(report.report.encode_to_vec().into());
         for other in others.into_values() {
             let (transport, request, address) = (Arc::clone(&transport), request.clone(), other.address);
             // A board that does not reply gets the next report soon.
--- a/crates/storage/tests/cluster/mod.rs
+++ b/crates/storage/tests/cluster/mod.rs
@@ -28,7 +28,7 @@
     ReplicaHost, Retirement, StoreFollowers, Upkeep, UpkeepSettings, offer_seat,
 };
 use sumacdrift_transport::{Handler, MemoryNetwork, Network, TrafficCounters, Transport, serve};
-use sumacdrift_types::{Location, Places};
+use sumacdrift_types::{Location, Topology};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -172,7 +172,7 @@
             own,
             capacity: Capacity::default(),
             policy: GroupPolicy::tolerating(cluster_settings.tolerated_losses),
-            places: Arc::new(Places::default()),
+            places: Arc::new(Topology::default()),
             complete_within: cluster_settings.complete_within,
         };
         let directory: Arc<dyn GroupDirectory> = Arc::new(directory);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -7,10 +7,10 @@
 mod ids;
 mod mechanism;
 mod outcome;
-mod places;
 mod rendezvous;
 mod result_code;
 mod time;
+mod topology;
 mod usage;
 
 pub use chat::{ChatMessage, HistoryMode, InvalidMessage, MessageDigest, PrefixDigest};
@@ -18,10 +18,10 @@
     CallId, EngineName, Generation, IdempotencyKey, Incarnation, InvalidName, ModelName, NodeId, PoolName,
     PriorityName, ProgramId, RegionName, ServiceName, ShardId, TenantName, TurnNumber, ZoneName,
 };
-pub use mechanism::{Mechanism, SwitchedOff, UnknownMechanism, names as mechanism_names};
+pub use mechanism::{DisabledMechanisms, Mechanism, UnknownMechanism, names as mechanism_names};
 pub use outcome::{Problem, Ran};
-pub use places::{AllowedRegions, Location, Nearness, Places};
 pub use rendezvous::{rendezvous_order, stable_hash};
 pub use result_code::ResultCode;
 pub use time::Timestamp;
+pub use topology::{AllowedRegions, Location, Nearness, Topology};
 pub use usage::{TokenCount, Usage, estimate_tokens};
--- a/crates/types/src/mechanism.rs
+++ b/crates/types/src/mechanism.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// Placement prefers engines that hold parts of a turn's prompt in their caches.
-    HeldPrompts,
+    CachedPrompts,
     /// Cached prompts reported by other edges are taken into account.
-    ToldPrompts,
+    PeerPrompts,
     /// Loads reported by other edges are taken into account.
-    ToldLoads,
+    PeerLoads,
     /// Placement accounts for the slowness of engines, as measured on their answers.
     Slowness,
     /// Placement accounts for the distance between zones.
@@ -25,11 +25,11 @@
     /// Engines whose calls fail are avoided.
     Health,
     /// Engines at which calls of other edges fail are avoided.
-    ToldFailures,
+    PeerFailures,
     /// Engines whose failure rate over all edges far exceeds that of their service are ejected for a time.
     OutlierEjection,
     /// The idle time of reused connections is limited after an idle one was reset.
-    RestLimit,
+    IdleLimit,
     /// Calls that arrive during startup wait for the first configuration.
     StartWait,
     /// Ledger requests are hedged: further replicas are asked when the first ones are late.
@@ -46,18 +46,18 @@
 
 /// Names in settings.
 const NAMES: [(Mechanism, &str); 18] = [
-    (Mechanism::HeldPrompts, "held-prompts"),
-    (Mechanism::ToldPrompts, "told-prompts"),
-    (Mechanism::ToldLoads, "told-loads"),
+    (Mechanism::CachedPrompts, "held-prompts"),
+    (Mechanism::PeerPrompts, "told-prompts"),
+    (Mechanism::PeerLoads, "told-loads"),
     (Mechanism::Slowness, "slowness"),
     (Mechanism::Zones, "zones"),
     (Mechanism::OpenConnections, "open-connections"),
     (Mechanism::OthersDelay, "others-delay"),
     (Mechanism::Urgency, "urgency"),
     (Mechanism::Health, "health"),
-    (Mechanism::ToldFailures, "told-failures"),
+    (Mechanism::PeerFailures, "told-failures"),
     (Mechanism::OutlierEjection, "outlier-ejection"),
-    (Mechanism::RestLimit, "rest-limit"),
+    (Mechanism::IdleLimit, "rest-limit"),
     (Mechanism::StartWait, "start-wait"),
     (Mechanism::Hedging, "hedging"),
     (Mechanism::Suspects, "suspects"),
@@ -94,11 +94,11 @@
 
 /// Set of mechanisms that are switched off; empty by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SwitchedOff(u32);
+pub struct DisabledMechanisms(u32);
 
-impl SwitchedOff {
+impl DisabledMechanisms {
     /// Whether a mechanism is on.
-    pub fn allows(self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.0 & bit(mechanism) == 0
     }
 
@@ -108,7 +108,7 @@
     }
 }
 
-impl FromIterator<Mechanism> for SwitchedOff {
+impl FromIterator<Mechanism> for DisabledMechanisms {
     fn from_iter<T: IntoIterator<Item = Mechanism>>(mechanisms: T) -> Self {
         Self(mechanisms.into_iter().fold(0, |bits, mechanism| bits | bit(mechanism)))
     }
--- a/crates/types/src/places.rs
+++ b/crates/types/src/topology.rs
@@ -14,16 +14,16 @@
     /// Same region, different zones.
     Region,
     /// Different regions.
-    Elsewhere,
+    OtherRegion,
 }
 
 /// Assignment of zones to regions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct Topology {
     region_by_zone: BTreeMap<Arc<str>, RegionName>,
 }
 
-impl Places {
+impl Topology {
     /// Creates the assignment from pairs of a zone and its region.
     pub fn new(regions: impl IntoIterator<Item = (Arc<str>, RegionName)>) -> Self {
         Self { region_by_zone: regions.into_iter().collect() }
@@ -41,7 +41,7 @@
         }
         let is_same_region = self.region_by_zone.is_empty()
             || self.region_of(one).is_some_and(|region| self.region_of(other) == Some(region));
-        if is_same_region { Nearness::Region } else { Nearness::Elsewhere }
+        if is_same_region { Nearness::Region } else { Nearness::OtherRegion }
     }
 }
 
@@ -50,18 +50,18 @@
 #[allow(missing_docs)]
 pub struct Location {
     pub zone: Arc<str>,
-    pub places: Arc<Places>,
+    pub topology: Arc<Topology>,
 }
 
 impl Location {
     /// A location in a fleet without configured regions.
     pub fn in_zone(zone: &str) -> Self {
-        Self { zone: Arc::from(zone), places: Arc::default() }
+        Self { zone: Arc::from(zone), topology: Arc::default() }
     }
 
     /// Nearness of a zone to this location.
     pub fn nearness(&self, zone: &str) -> Nearness {
-        self.places.nearness(&self.zone, zone)
+        self.topology.nearness(&self.zone, zone)
     }
 }
 
@@ -74,7 +74,7 @@
 
 impl AllowedRegions {
     /// Allows only these regions; all regions if `regions` is empty.
-    pub fn only(regions: impl IntoIterator<Item = RegionName>) -> Self {
+    pub fn new(regions: impl IntoIterator<Item = RegionName>) -> Self {
         let allowed: BTreeSet<RegionName> = regions.into_iter().collect();
         Self { allowed: (!allowed.is_empty()).then_some(allowed) }
     }
@@ -89,7 +89,7 @@
     }
 
     /// Whether all regions are allowed.
-    pub fn are_all(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.allowed.is_none()
     }
 
--- a/crates/types/tests/mechanisms.rs
+++ b/crates/types/tests/mechanisms.rs
@@ -1,14 +1,15 @@
 //! Names of mechanisms, and sets of switched-off ones.
 
-use sumacdrift_types::{Mechanism, SwitchedOff, mechanism_names};
+use sumacdrift_types::{DisabledMechanisms, Mechanism, mechanism_names};
 
 #[test]
 fn every_name_parses_to_its_mechanism_and_back() {
     for name in mechanism_names() {
         let mechanism: Mechanism = name.parse().expect("known mechanism");
         assert_eq!(mechanism.to_string(), name);
-        let off: SwitchedOff = [mechanism].into_iter().collect();
-        let allowed = mechanism_names().filter(|other| off.allows(other.parse().expect("known mechanism")));
+        let disabled: DisabledMechanisms = [mechanism].into_iter().collect();
+        let allowed =
+            mechanism_names().filter(|other| disabled.is_enabled(other.parse().expect("known mechanism")));
         assert_eq!(allowed.count(), mechanism_names().count() - 1, "{name}");
     }
 }
@@ -21,9 +22,10 @@
 }
 
 #[test]
-fn nothing_is_switched_off_by_default() {
+fn nothing_is_disabled_by_default() {
     assert!(
-        mechanism_names().all(|name| SwitchedOff::default().allows(name.parse().expect("known mechanism")))
+        mechanism_names()
+            .all(|name| DisabledMechanisms::default().is_enabled(name.parse().expect("known mechanism")))
     );
 }
 
