--- a/crates/bench/src/choices.rs
+++ b/crates/bench/src/choices.rs
@@ -4,10 +4,12 @@
 
 use serde::Serialize;
 use sumacdrift_calls::EngineId;
-use sumacdrift_fleet_view::{EngineLoad, Loads, PartHeld, engine_key};
-use sumacdrift_routing::{EngineBook, EngineSpec, PartNeed, PlacementRequest, RequestedWork, TrafficPrices};
-use sumacdrift_scheduling::HealthSettings;
-use sumacdrift_types::{AllowedRegions, Location, SwitchedOff, Timestamp};
+use sumacdrift_fleet_view::{CachedPart, EngineLoad, Loads, engine_key};
+use sumacdrift_routing::{
+    EngineRegistry, EngineSpec, PlacementRequest, RequestedWork, RequiredPart, TrafficPrices,
+};
+use sumacdrift_scheduling::CircuitBreakerSettings;
+use sumacdrift_types::{AllowedRegions, DisabledMechanisms, Location, Timestamp};
 
 pub(crate) const ENGINE_COUNTS: [usize; 5] = [12, 400, 3_900, 8_714, 17_428];
 const TIMED_CHOICES: u32 = 2_000;
@@ -36,7 +38,7 @@
 fn measure(engines: usize, in_use: usize) -> ChoiceSlope {
     let now = Timestamp::default() + Duration::from_secs(10);
     let book = build_book(engines, in_use, now);
-    let parts = [PartNeed { part: 1, tokens: 2_560 }, PartNeed { part: 2, tokens: 6_000 }];
+    let parts = [RequiredPart { part: 1, tokens: 2_560 }, RequiredPart { part: 2, tokens: 6_000 }];
     let started = Instant::now();
     let mut chosen = 0;
     for key in 0..TIMED_CHOICES {
@@ -48,7 +50,7 @@
             kilobytes: 8.0,
             is_connected: &|_| true,
             avoid: &[],
-            rather_not: &[],
+            deprioritized: &[],
             only: None,
         };
         chosen += usize::from(book.choose(&request, now).is_some());
@@ -58,28 +60,28 @@
 }
 
 /// A book of engines, of which `in_use` have calls and some hold parts of the prompt.
-fn build_book(engines: usize, in_use: usize, now: Timestamp) -> EngineBook {
-    let mut book = EngineBook::new(
+fn build_book(engines: usize, in_use: usize, now: Timestamp) -> EngineRegistry {
+    let mut book = EngineRegistry::new(
         Location::in_zone("a"),
         TrafficPrices::default(),
-        SwitchedOff::default(),
-        HealthSettings::default(),
+        DisabledMechanisms::default(),
+        CircuitBreakerSettings::default(),
     );
     let id = |engine: usize| format!("engine-{engine}");
     for engine in 0..engines {
         book.upsert(engine_spec(&id(engine), ZONE_NAMES[engine % ZONE_NAMES.len()]), now);
     }
-    book.settle(|_| false, now);
+    book.regroup_interchangeable(|_| false, now);
     for engine in 0..in_use {
-        book.sent(&EngineId::new(&id(engine)), 100, now);
+        book.record_sent(&EngineId::new(&id(engine)), 100, now);
     }
     for engine in 0..PART_HOLDERS.min(engines) {
         let engine = engine_key(&id(engine));
-        book.holds(PartHeld { part: 1, engine, tokens: 2_560 }, now);
+        book.record_cached_part(CachedPart { part: 1, engine, tokens: 2_560 }, now);
     }
-    book.holds(PartHeld { part: 2, engine: engine_key(&id(0)), tokens: 5_000 }, now);
+    book.record_cached_part(CachedPart { part: 2, engine: engine_key(&id(0)), tokens: 5_000 }, now);
     let load = |engine| EngineLoad { engine: engine_key(&id(engine)), running: 6, ..EngineLoad::default() };
-    book.others_told(&Loads { engines: (0..in_use).map(load).collect() }, now);
+    book.apply_peer_loads(&Loads { engines: (0..in_use).map(load).collect() }, now);
     book
 }
 
@@ -91,7 +93,7 @@
         zone: zone.into(),
         slots: 16,
         is_leaving: false,
-        cold_left: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         report: 1,
     }
 }
--- a/crates/ledger/tests/member_removal.rs
+++ b/crates/ledger/tests/member_removal.rs
@@ -7,7 +7,7 @@
     ChangeReason, Group, GroupMap, GroupPolicy, Member, MemberReport, MemberWatch, MembershipDecision,
     ReplacementPolicy,
 };
-use sumacdrift_types::{Places, Timestamp};
+use sumacdrift_types::{Timestamp, Topology};
 
 const CATCH_UP_DEADLINE: Duration = Duration::from_secs(4);
 /// Longer than any removal timeout.
@@ -59,7 +59,7 @@
         let map = GroupMap::new(vec![self.group.clone()]);
         let replacement = ReplacementPolicy::for_new_machine(CATCH_UP_DEADLINE);
         let policy = GroupPolicy::tolerating(1);
-        policy.decide_membership(&Places::default(), &map, &member("a"), &self.watch, replacement, now)
+        policy.decide_membership(&Topology::default(), &map, &member("a"), &self.watch, replacement, now)
     }
 
     fn removes_lost_member(&mut self, silent_for: u64, witnesses: &[(&str, MemberReport)]) -> bool {
--- a/crates/ledger/tests/partial_partition/mod.rs
+++ b/crates/ledger/tests/partial_partition/mod.rs
@@ -6,7 +6,7 @@
 use sumacdrift_ledger::{
     Group, GroupMap, GroupPolicy, Member, MemberReport, MemberWatch, MembershipDecision, ReplacementPolicy,
 };
-use sumacdrift_types::{Places, Timestamp};
+use sumacdrift_types::{Timestamp, Topology};
 
 pub fn member(node: &str) -> Member {
     Member { node: node.to_owned(), address: ([127, 0, 0, 1], 1).into(), zone: "z".to_owned(), joined: 0 }
@@ -28,7 +28,7 @@
 ) -> MembershipDecision {
     let map = GroupMap::new(vec![Group::initial(["a", "b", "c"].map(member).to_vec())]);
     let policy = GroupPolicy::tolerating(1);
-    policy.decide_membership(&Places::default(), &map, &member("new"), watch, replacement, now)
+    policy.decide_membership(&Topology::default(), &map, &member("new"), watch, replacement, now)
 }
 
 /// Whether a machine that cannot reach `c`, unlike the other members, replaces it.
--- a/crates/ledger/tests/zone_simulation/mod.rs
+++ b/crates/ledger/tests/zone_simulation/mod.rs
@@ -10,7 +10,7 @@
     Candidate, Capacity, GroupMap, GroupPolicy, Member, MemberReport, MemberWatch, MembershipDecision,
     ReplacementPolicy,
 };
-use sumacdrift_types::{Places, Timestamp};
+use sumacdrift_types::{Timestamp, Topology};
 
 const STEPS: usize = 30;
 /// Time per step, long enough that an unresponsive member counts as lost.
@@ -75,7 +75,7 @@
                 continue;
             }
             if let MembershipDecision::Change { group, .. } = self.policy.decide_membership(
-                &Places::default(),
+                &Topology::default(),
                 &self.map,
                 &own,
                 &watch,
--- a/crates/proto/src/request.rs
+++ b/crates/proto/src/request.rs
@@ -7,7 +7,7 @@
 use sumacdrift_membership::Envelope;
 use sumacdrift_program::{Command, Reply, Runner};
 use sumacdrift_replication::{Message, ReplicaId};
-use sumacdrift_scheduling::{Bid, ContextPrefix, Release, Work};
+use sumacdrift_scheduling::{Bid, ContextPrefix, EngineWork, Release};
 use sumacdrift_types::{CallId, EngineName, Generation, NodeId, Problem, ProgramId, ShardId};
 
 use founding::FoundingMessage;
@@ -62,7 +62,7 @@
         prefixes: Vec<ContextPrefix>,
     },
     /// Enqueues a call; the response is sent once the call may be dispatched.
-    Enqueue { engine: EngineName, work: Box<Work> },
+    Enqueue { engine: EngineName, work: Box<EngineWork> },
 }
 
 /// Fleet bootstrap and configuration requests.
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -9,7 +9,7 @@
     Answer, BeginService, BeginTurn, BudgetLimits, Command, FinishTurn, KnownPrefix, Reply, RunTurn,
     ServiceResponse,
 };
-use sumacdrift_scheduling::{FinishedWork, QueueEffect, Release, Work, context_prefixes};
+use sumacdrift_scheduling::{EngineWork, FinishedWork, QueueEffect, Release, context_prefixes};
 use sumacdrift_types::{
     CallId, ChatMessage, HistoryMode, Incarnation, Problem, ResultCode, TenantName, Timestamp, Usage,
 };
@@ -301,7 +301,7 @@
         let owner = self.nodes[node].engine_owner(engine, self.now);
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
         let Some(request) = task.turn_request().cloned() else { return };
-        let work = Work {
+        let work = EngineWork {
             call,
             program: request.program.clone(),
             tenant: tenant(),
@@ -333,7 +333,7 @@
     fn retry_or_fail(&mut self, node: usize, call: CallId, run: RunTurn, engine: usize, failure: Failure) {
         let now = self.now;
         let Some(task) = self.nodes[node].tasks.get_mut(&call) else { return };
-        if let Next::Try { .. } = task.machine.failed(&engine_id(engine), failure, now) {
+        if let Next::Try { .. } = task.machine.record_failure(&engine_id(engine), failure, now) {
             self.enqueue_turn(node, call, run);
             return;
         }
@@ -360,7 +360,7 @@
         from: usize,
         exchange: u64,
         engine: usize,
-        work: Work,
+        work: EngineWork,
     ) {
         let waiter = Waiter { node: from, incarnation: self.nodes[from].incarnation, exchange };
         let now = self.now;
@@ -373,7 +373,7 @@
         for effect in effects {
             let (call, outcome) = match effect {
                 QueueEffect::Grant { call } => (call, Ok(())),
-                QueueEffect::Refuse { call, problem } => (call, Err(problem)),
+                QueueEffect::Reject { call, problem } => (call, Err(problem)),
             };
             if let Some(waiter) = self.nodes[node].queue_waiters.remove(&call) {
                 let exchange = waiter.exchange;
@@ -386,7 +386,7 @@
         let now = self.now;
         self.nodes[node].queue_waiters.remove(&call);
         let queue = self.nodes[node].engine_queue(engine);
-        queue.forget(call);
+        queue.cancel(call);
         let release = Release { call, finished: None, is_engine_fault: false };
         let effects = queue.release(release, now);
         self.apply_queue_effects(node, effects);
@@ -416,8 +416,8 @@
         self.engine_memory[engine].insert(request.program.clone());
         let tokens = run.output_tokens.min(request.wanted_output);
         self.oracle.add_generated_tokens(&request.program, tokens);
-        task.machine.sent(&engine_id(engine));
-        task.machine.head_given();
+        task.machine.record_sent(&engine_id(engine));
+        task.machine.record_head_sent();
         task.generated_tokens += tokens;
         task.engines.push(engine);
         task.exchange = self.next_exchange;
@@ -439,8 +439,8 @@
         let usage = Usage { prompt_tokens: 1, cached_tokens: 0, output_tokens: task.generated_tokens };
         let finished = FinishedWork {
             usage,
-            first_token: Duration::from_millis(10),
-            decoding: Duration::from_millis(10),
+            time_to_first_token: Duration::from_millis(10),
+            decode_time: Duration::from_millis(10),
             end: None,
         };
         let release = Release { call, finished: (!is_cut).then_some(finished), is_engine_fault: is_cut };
@@ -477,7 +477,7 @@
         let incarnation = self.nodes[node].incarnation;
         if let Some(task) = self.nodes[node].tasks.get_mut(&call) {
             task.stage = Stage::RunningService;
-            task.machine.sent(&EngineId::new(SERVICE_BACK_END));
+            task.machine.record_sent(&EngineId::new(SERVICE_BACK_END));
         }
         let is_hung = self.should_hang_services && self.random.random_bool(0.6);
         let delay = Duration::from_millis(self.random.random_range(1..30));
@@ -506,7 +506,7 @@
         let Some(key) = ledger_key(key) else { return };
         if is_lost {
             let mut machine = task.machine.clone();
-            let next = machine.failed(&EngineId::new(SERVICE_BACK_END), Failure::Lost, self.now);
+            let next = machine.record_failure(&EngineId::new(SERVICE_BACK_END), Failure::Lost, self.now);
             debug_assert!(matches!(next, Next::Fail { .. }), "a non-repeatable call is not retried");
             let problem = Problem::not_run(ResultCode::BackEndCut, "the service's answer is lost");
             let problem = problem.with_ran(machine.ran());
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -434,7 +434,7 @@
         }
         let engines: Vec<usize> = self.nodes[node].queues.keys().copied().collect();
         for engine in engines {
-            let effects = self.nodes[node].engine_queue(engine).set_leaving(leaving.contains(&engine));
+            let effects = self.nodes[node].engine_queue(engine).set_draining(leaving.contains(&engine));
             self.apply_queue_effects(node, effects);
         }
         // A new configuration is sent at once, not only with the next heartbeat.
--- a/crates/storage/src/group_maintenance.rs
+++ b/crates/storage/src/group_maintenance.rs
@@ -12,7 +12,7 @@
     ReplacementPolicy,
 };
 use sumacdrift_transport::Transport;
-use sumacdrift_types::Places;
+use sumacdrift_types::Topology;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
@@ -49,7 +49,7 @@
     /// Target size of the groups.
     pub policy: GroupPolicy,
     /// Region of each zone.
-    pub places: Arc<Places>,
+    pub places: Arc<Topology>,
     /// Time within which a machine that starts empty must vote in place of a lost one. Until then the
     /// deployment counts the loss, and another one may follow after it.
     pub catch_up_time: Duration,
