--- a/crates/access/src/decision.rs
+++ b/crates/access/src/decision.rs
@@ -10,7 +10,7 @@
 use crate::key::ApiKey;
 use crate::table::{AccessTable, Tenant};
 
-/// Input of [`decide`].
+/// Input of [`check_access`].
 #[derive(Debug, Clone, Copy)]
 pub struct AccessRequest<'a> {
     /// The caller's key; `None` if it sent none or several.
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,7 +1,7 @@
 //! Admission of callers: API keys, tenants, public routes, the maximum age of the configuration, and call
 //! quotas.
 //!
-//! Keys are stored as keyed hashes ([`AccessTable`]); [`decide`] admits or rejects a call. [`QuotaWindow`]
+//! Keys are stored as keyed hashes ([`AccessTable`]); [`check_access`] admits or rejects a call. [`QuotaWindow`]
 //! counts one tenant's calls in a sliding window, [`QuotaCounters`] those of all tenants on a counting node.
 //!
 //! The crate does no I/O and reads no clock; callers pass the time in.
--- a/crates/access/src/program_admission.rs
+++ b/crates/access/src/program_admission.rs
@@ -8,7 +8,7 @@
 
 use crate::quota_window::QuotaLimit;
 
-/// Share of the limit above which new programs are admitted only as far as whole ones fit; the rest of the
+/// Share of the limit above which new programs are admitted only if their expected calls fit; the rest of the
 /// window is kept for those that have started.
 const CONGESTED_SHARE: f64 = 0.7;
 /// Windows for which a tenant counts as congested after a call over its limit, regardless of its usage.
--- a/crates/access/src/quota_counters.rs
+++ b/crates/access/src/quota_counters.rs
@@ -70,7 +70,7 @@
     /// Name of the sender.
     pub node: String,
     /// Incarnation of the sender's process; totals restart at zero with each.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether the sender knows all calls of the last window.
     pub is_warm: bool,
     /// Calls admitted by the sender, for each tenant with calls in the last window.
@@ -88,7 +88,7 @@
 
 #[derive(Debug)]
 struct Peer {
-    life: u64,
+    incarnation: u64,
     last_report_at: Timestamp,
     is_warm: bool,
     totals: HashMap<Arc<str>, u64>,
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct QuotaCounters {
     node: String,
-    life: u64,
+    incarnation: u64,
     started_at: Timestamp,
     tenants: HashMap<Arc<str>, TenantCounter>,
     call_stats: ProgramCallStats,
@@ -112,11 +112,11 @@
 }
 
 impl QuotaCounters {
-    /// Starts without counts. `life` identifies this incarnation of the node's process.
-    pub fn new(node: &str, life: u64, now: Timestamp) -> Self {
+    /// Starts without counts. `incarnation` identifies this run of the node's process.
+    pub fn new(node: &str, incarnation: u64, now: Timestamp) -> Self {
         Self {
             node: node.to_owned(),
-            life,
+            incarnation,
             started_at: now,
             tenants: HashMap::new(),
             call_stats: ProgramCallStats::default(),
@@ -170,7 +170,12 @@
         let totals = self.tenants.iter_mut().map(|(tenant, count)| (Arc::clone(tenant), count.total(now)));
         let recent_totals = totals.filter(|(_, total)| total.recent > 0);
         let totals = recent_totals.collect();
-        CallReport { node: self.node.clone(), life: self.life, is_warm: self.is_warm(window, now), totals }
+        CallReport {
+            node: self.node.clone(),
+            incarnation: self.incarnation,
+            is_warm: self.is_warm(window, now),
+            totals,
+        }
     }
 
     /// Whether a report is due at once: half of the calls that may be admitted without acknowledgement were.
@@ -200,13 +205,13 @@
     pub fn apply_report(&mut self, report: CallReport, now: Timestamp) {
         let is_first = !self.peers.contains_key(&report.node);
         let peer = self.peers.entry(report.node).or_insert_with(|| Peer {
-            life: report.life,
+            incarnation: report.incarnation,
             last_report_at: now,
             is_warm: false,
             totals: HashMap::new(),
         });
-        if peer.life != report.life {
-            peer.life = report.life;
+        if peer.incarnation != report.incarnation {
+            peer.incarnation = report.incarnation;
             peer.totals.clear();
         }
         peer.last_report_at = now;
--- a/crates/access/tests/quota_counters.rs
+++ b/crates/access/tests/quota_counters.rs
@@ -182,7 +182,7 @@
     let [a, b, c] = &mut nodes;
     exchange_reports(&mut [a, b, c], at(10_100));
     let (first, now) = ask_over_time(&mut nodes, 0, 100, 10_100);
-    // Three initial tokens, and seven calls a second from then on.
+    // Three initial tokens, and then seven calls a second.
     assert!((9..=10).contains(&first), "{first} until {now}");
 }
 
--- a/crates/access/tests/simulation/mod.rs
+++ b/crates/access/tests/simulation/mod.rs
@@ -37,9 +37,9 @@
     from: u64,
     until: u64,
     /// Whether the node loses its state; otherwise it is only partitioned from the other nodes.
-    is_loss: bool,
-    /// One in this many edges still reaches the node during the partition.
-    reachable_by_one_in: u64,
+    loses_state: bool,
+    /// During a partition, edges whose number is a multiple of this still reach the node.
+    reachable_edge_divisor: u64,
 }
 
 struct Scenario {
@@ -114,8 +114,8 @@
             node,
             from,
             until,
-            is_loss: rng.below(2) == 0,
-            reachable_by_one_in: 1 + rng.below(6),
+            loses_state: rng.below(2) == 0,
+            reachable_edge_divisor: 1 + rng.below(6),
         });
     }
     if rng.below(8) == 0 {
@@ -127,8 +127,8 @@
             node,
             from,
             until,
-            is_loss: true,
-            reachable_by_one_in: 1,
+            loses_state: true,
+            reachable_edge_divisor: 1,
         }));
     }
     Scenario {
@@ -170,7 +170,7 @@
     fn step(&mut self, now: u64) {
         let clock = Timestamp(now * 1_000);
         for fault in &self.scenario.faults {
-            if fault.is_loss && fault.until / STEP_MILLIS == now / STEP_MILLIS {
+            if fault.loses_state && fault.until / STEP_MILLIS == now / STEP_MILLIS {
                 self.nodes[fault.node] = QuotaCounters::new(MEMBERS[fault.node], 2 + now, clock);
             }
         }
@@ -217,7 +217,7 @@
         for node in order {
             let is_reachable = match self.fault(node, now) {
                 None => true,
-                Some(fault) => !fault.is_loss && edge.is_multiple_of(fault.reachable_by_one_in),
+                Some(fault) => !fault.loses_state && edge.is_multiple_of(fault.reachable_edge_divisor),
             };
             let clock = Timestamp(now * 1_000);
             let verdict = match is_reachable {
--- a/crates/dissemination/src/feed.rs
+++ b/crates/dissemination/src/feed.rs
@@ -14,8 +14,8 @@
 /// Bytes of names and contents in one part of a full response. Takes 11 ms on a link of 47 Mbit/s, which is
 /// short beside the timeout of a request.
 const PART_BYTES: usize = 64 << 10;
-/// Time after a list in which followers are told of the outage before it. Engines that could not report
-/// during the outage are back by then.
+/// How long after a list responses still report the outage before it. Engines that could not report during
+/// the outage have reported again by the end of this period.
 const OUTAGE_REPORT_PERIOD: Duration = Duration::from_secs(3);
 
 /// All items of a kind, as listed by the store.
--- a/crates/dissemination/src/source_choice.rs
+++ b/crates/dissemination/src/source_choice.rs
@@ -26,7 +26,7 @@
     /// Request changes from a feed.
     Feed {
         /// Index in the list of feeds.
-        place: usize,
+        index: usize,
         /// Whether the response may wait for a change.
         may_wait: bool,
     },
@@ -86,10 +86,10 @@
         if self.consecutive_unresponsive >= MAX_UNRESPONSIVE_FEEDS.min(feeds) {
             return self.switch_to_store(now);
         }
-        // After one round of stale feeds, waiting at each of them is all that is left.
+        // After one round of stale feeds, requests wait at each feed instead of returning at once.
         let may_wait = self.consecutive_unresponsive == 0
             && (self.consecutive_stale == 0 || self.consecutive_stale >= feeds);
-        NextSource::Feed { place: self.next_feed % feeds, may_wait }
+        NextSource::Feed { index: self.next_feed % feeds, may_wait }
     }
 
     /// Records the outcome of the last request to a feed.
--- a/crates/dissemination/tests/feed.rs
+++ b/crates/dissemination/tests/feed.rs
@@ -96,7 +96,7 @@
     assert!(changes.is_full);
     assert_eq!(changes.outage_millis, 4_000);
     assert_eq!(model.items, items_of(&feed));
-    // A later follower is not told of the outage: engines that are still missing are gone.
+    // A later response does not report the outage: engines that are still missing have been removed.
     let later = Model::default().follow(&feed, at(9_000));
     assert_eq!(later.outage_millis, 0);
 }
--- a/crates/dissemination/tests/source_choice.rs
+++ b/crates/dissemination/tests/source_choice.rs
@@ -10,15 +10,15 @@
 }
 
 fn feed_index(next: NextSource) -> usize {
-    let NextSource::Feed { place, .. } = next else { panic!("{next:?}") };
-    place
+    let NextSource::Feed { index, .. } = next else { panic!("{next:?}") };
+    index
 }
 
 #[test]
 fn follower_stays_with_a_current_feed() {
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     for _ in 0..10 {
-        assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 0, may_wait: true });
+        assert_eq!(choice.next(5, at(0)), NextSource::Feed { index: 0, may_wait: true });
         choice.record_outcome(FeedOutcome::Current);
     }
 }
@@ -28,9 +28,9 @@
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     assert_eq!(feed_index(choice.next(5, at(0))), 0);
     choice.record_outcome(FeedOutcome::NoResponse);
-    assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 1, may_wait: false });
+    assert_eq!(choice.next(5, at(0)), NextSource::Feed { index: 1, may_wait: false });
     choice.record_outcome(FeedOutcome::Current);
-    assert_eq!(choice.next(5, at(0)), NextSource::Feed { place: 1, may_wait: true });
+    assert_eq!(choice.next(5, at(0)), NextSource::Feed { index: 1, may_wait: true });
 }
 
 #[test]
@@ -50,8 +50,8 @@
     let mut choice = SourceChoice::new(at(0), Duration::from_millis(1200));
     let mut asked = Vec::new();
     for _ in 0..8 {
-        let NextSource::Feed { place, may_wait } = choice.next(3, at(0)) else { panic!("expected a feed") };
-        asked.push((place, may_wait));
+        let NextSource::Feed { index, may_wait } = choice.next(3, at(0)) else { panic!("expected a feed") };
+        asked.push((index, may_wait));
         choice.record_outcome(FeedOutcome::Stale);
     }
     assert_eq!(asked[..5], [(0, true), (1, false), (2, false), (0, true), (1, true)]);
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -104,7 +104,7 @@
             budget_tokens: program.token_budget.unwrap_or(0),
             needs_chain: route.is_retained && !previous.is_empty(),
             previous,
-            news: update,
+            report: update,
         };
         // If this future is dropped while waiting, dropping `open` ends the turn.
         let admission = ledger.begin(begin, until).await?;
--- a/crates/fleet-view/src/board.rs
+++ b/crates/fleet-view/src/board.rs
@@ -1,4 +1,4 @@
-//! Replica side of the exchange: stores the reports of edges and answers with the view of the others.
+//! Replica side of the exchange: stores the reports of edges and answers with a view of the other edges.
 
 use std::time::Duration;
 
--- a/crates/fleet-view/src/load_table.rs
+++ b/crates/fleet-view/src/load_table.rs
@@ -92,7 +92,7 @@
         sum.running = sum.running.saturating_add(load.running);
         sum.unread_tokens = sum.unread_tokens.saturating_add(load.unread_tokens);
         sum.failed = sum.failed.saturating_add(load.failed);
-        sum.served = sum.served.saturating_add(load.served);
+        sum.succeeding_edges = sum.succeeding_edges.saturating_add(load.succeeding_edges);
         sum.recent_ended = sum.recent_ended.saturating_add(load.recent_ended);
         sum.recent_failed = sum.recent_failed.saturating_add(load.recent_failed);
     }
--- a/crates/fleet-view/src/message.rs
+++ b/crates/fleet-view/src/message.rs
@@ -7,7 +7,7 @@
     /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Address at which the edge forwards requests of others, `IP:PORT`; empty if it does not.
+    /// Address at which the edge forwards requests of other edges, `IP:PORT`; empty if it does not.
     #[prost(string, tag = "2")]
     pub relay: String,
     /// Calls of the sender at engines. An engine that is missing has none.
@@ -73,9 +73,9 @@
     /// Calls that failed recently without a success since.
     #[prost(uint32, tag = "4")]
     pub failed: u32,
-    /// Edges whose last call succeeded recently. Sent only for engines where calls of others fail.
+    /// Edges whose last call succeeded recently. Sent only for engines where calls of other edges fail.
     #[prost(uint32, tag = "5")]
-    pub served: u32,
+    pub succeeding_edges: u32,
     /// Calls that ended recently, successful or not. Sent only for engines where calls of any edge failed
     /// recently.
     #[prost(uint32, tag = "6")]
--- a/crates/fleet-view/tests/board.rs
+++ b/crates/fleet-view/tests/board.rs
@@ -86,12 +86,17 @@
 #[test]
 fn failures_are_summed_over_edges() {
     let mut board = board();
-    let failing = |served| EngineLoad { engine: 1, failed: 1 - served, served, ..EngineLoad::default() };
-    for (node, served) in [("a", 0), ("b", 0), ("c", 1)] {
-        board.exchange(load_report(node, vec![failing(served)]), at(0));
+    let failing = |succeeding_edges| EngineLoad {
+        engine: 1,
+        failed: 1 - succeeding_edges,
+        succeeding_edges,
+        ..EngineLoad::default()
+    };
+    for (node, succeeding_edges) in [("a", 0), ("b", 0), ("c", 1)] {
+        board.exchange(load_report(node, vec![failing(succeeding_edges)]), at(0));
     }
     let sum = loads(&board.exchange(load_report("d", Vec::new()), at(10)))[0];
-    assert_eq!((sum.failed, sum.served), (2, 1));
+    assert_eq!((sum.failed, sum.succeeding_edges), (2, 1));
 }
 
 #[test]
--- a/crates/fleet-view/tests/recorded_forms/main.rs
+++ b/crates/fleet-view/tests/recorded_forms/main.rs
@@ -12,7 +12,7 @@
 };
 use sumacdrift_recorded_forms::{Codec, RecordedForms};
 
-const NEWS: &str = "News";
+const NODE_REPORT: &str = "News";
 const VIEW: &str = "View";
 const ENGINE: u32 = 0x1234_5678;
 const SERVICE: u32 = 0x0102_0304;
@@ -31,7 +31,7 @@
 
 fn loads_with_failures() -> Loads {
     let first = first_loads().engines[0];
-    Loads { engines: vec![EngineLoad { failed: 2, served: 1, ..first }] }
+    Loads { engines: vec![EngineLoad { failed: 2, succeeding_edges: 1, ..first }] }
 }
 
 fn loads() -> Loads {
@@ -81,16 +81,16 @@
 #[test]
 fn recorded_forms_are_read_and_the_newest_is_written() {
     let mut forms = recorded();
-    forms.reads(&Codec::message(), NEWS, "1", &report(first_loads(), false));
-    forms.reads(&Codec::message(), NEWS, "2", &report(loads_with_failures(), false));
-    forms.reads(&Codec::message(), NEWS, "3", &report(loads_with_failures(), true));
-    forms.writes(&Codec::message(), NEWS, "4", &newest_report());
-    forms.writes_bare(&Codec::message(), NEWS, &NodeReport::default());
+    forms.reads(&Codec::message(), NODE_REPORT, "1", &report(first_loads(), false));
+    forms.reads(&Codec::message(), NODE_REPORT, "2", &report(loads_with_failures(), false));
+    forms.reads(&Codec::message(), NODE_REPORT, "3", &report(loads_with_failures(), true));
+    forms.writes(&Codec::message(), NODE_REPORT, "4", &newest_report());
+    forms.writes_bare(&Codec::message(), NODE_REPORT, &NodeReport::default());
     forms.reads(&Codec::message(), VIEW, "1", &view(first_loads()));
     forms.reads(&Codec::message(), VIEW, "2", &view(loads_with_failures()));
     forms.writes(&Codec::message(), VIEW, "3", &newest_view());
     forms.writes_bare(&Codec::message(), VIEW, &PeerView::default());
-    if let Err(failures) = forms.finish(&[NEWS, VIEW]) {
+    if let Err(failures) = forms.finish(&[NODE_REPORT, VIEW]) {
         panic!("{failures}");
     }
 }
@@ -103,9 +103,9 @@
 #[test]
 fn earlier_builds_read_the_known_fields_of_todays_messages() {
     let mut forms = recorded();
-    assert_eq!(reencode_as::<older::FirstNews>(&newest_report()), forms.bytes(NEWS, "1"));
-    assert_eq!(reencode_as::<older::NewsWithFailures>(&newest_report()), forms.bytes(NEWS, "2"));
-    assert_eq!(reencode_as::<older::NewsOfBoards>(&newest_report()), forms.bytes(NEWS, "3"));
+    assert_eq!(reencode_as::<older::FirstReport>(&newest_report()), forms.bytes(NODE_REPORT, "1"));
+    assert_eq!(reencode_as::<older::ReportWithFailures>(&newest_report()), forms.bytes(NODE_REPORT, "2"));
+    assert_eq!(reencode_as::<older::ReportOfBoards>(&newest_report()), forms.bytes(NODE_REPORT, "3"));
     assert_eq!(reencode_as::<older::FirstView>(&newest_view()), forms.bytes(VIEW, "1"));
     assert_eq!(reencode_as::<older::ViewWithFailures>(&newest_view()), forms.bytes(VIEW, "2"));
 }
--- a/crates/fleet-view/tests/recorded_forms/older.rs
+++ b/crates/fleet-view/tests/recorded_forms/older.rs
@@ -4,7 +4,7 @@
 
 /// As of build ed4b611.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct FirstNews {
+pub struct FirstReport {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(string, tag = "2")]
@@ -23,7 +23,7 @@
 
 /// As of build dabe329.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct NewsWithFailures {
+pub struct ReportWithFailures {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(string, tag = "2")]
@@ -71,7 +71,7 @@
 
 /// As of build f635472.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct NewsOfBoards {
+pub struct ReportOfBoards {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(string, tag = "2")]
--- a/crates/ledger/src/member_watch.rs
+++ b/crates/ledger/src/member_watch.rs
@@ -142,8 +142,8 @@
         lost.map(|member| member.node.clone()).collect::<Vec<_>>().into_iter()
     }
 
-    /// A lost member that no machine replaced, as seen by a voting member of its group: all others answer, vote and
-    /// have not had an answer from it for long either. A member that announced its shutdown is removed after
+    /// A lost member that no machine replaced, as seen by a voting member of its group: all other members answer, vote,
+    /// and have also had no answer from it for long enough. A member that announced its shutdown is removed after
     /// `removed_after_stop`, any other one after a time in which a spare machine would have replaced it.
     pub(crate) fn member_to_remove(
         &self,
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -176,7 +176,7 @@
     pub group: u32,
     /// Opaque data from the sender for the host of the replica.
     #[prost(bytes = "bytes", tag = "15")]
-    pub news: Bytes,
+    pub report: Bytes,
 }
 
 /// Operation that a request asks for.
@@ -187,7 +187,7 @@
     Begin(Begin),
     #[prost(message, tag = "3")]
     End(End),
-    /// Reads the content of a chain of turns, as far as it is known to the replica.
+    /// Reads the content of those turns of a chain that the replica knows.
     #[prost(message, tag = "4")]
     Chain(ChainRequest),
     /// Reads one page of everything that the replica stores.
@@ -211,7 +211,7 @@
     /// Reads all groups. Answered by the replica's host.
     #[prost(bool, tag = "11")]
     Map(bool),
-    /// Carries only `LedgerRequest::news`.
+    /// Carries only `LedgerRequest::report`.
     #[prost(bool, tag = "12")]
     News(bool),
     /// Checks a call against a tenant's quota. Answered by the replica's host.
@@ -297,7 +297,7 @@
 pub struct LedgerReply {
     #[prost(oneof = "ReplyKind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12")]
     pub kind: Option<ReplyKind>,
-    /// Opaque data from the host of the replica in reply to `LedgerRequest::news`.
+    /// Opaque data from the host of the replica in reply to `LedgerRequest::report`.
     #[prost(bytes = "bytes", tag = "15")]
     pub view: Bytes,
 }
@@ -405,7 +405,7 @@
     pub is_voting: bool,
     /// Whether it holds every record that it acknowledged as a founding member.
     #[prost(bool, tag = "3")]
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// Group known to the replica, if any.
     #[prost(message, optional, tag = "4")]
     pub group: Option<GroupMessage>,
@@ -417,7 +417,7 @@
     pub silent: Vec<SilentMember>,
     /// Whether its process is shutting down and gives up its membership.
     #[prost(bool, tag = "7")]
-    pub offers_seat: bool,
+    pub offers_membership: bool,
 }
 
 /// Member that does not answer.
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -41,7 +41,7 @@
     /// For a machine that was complete before, as a spare or a member: waits longer than most outages.
     pub const FOR_EXISTING_MACHINE: Self = Self { lost_after: LOST_AFTER, accepts_offered_membership: false };
 
-    /// For a machine that started empty and has to catch up within this time. Such a machine usually stands in for one
+    /// For a machine that started empty and has to catch up within this time. Such a machine usually replaces one
     /// that left, and until it votes the group tolerates one disk loss less.
     pub fn for_new_machine(catch_up_time: Duration) -> Self {
         let lost_after = catch_up_time.mul_f64(LOST_AFTER_FRACTION);
@@ -107,7 +107,7 @@
     }
 
     /// Whether the zone of a machine allows it to join these members.
-    fn zone_has_room(self, members: &[Member], own: &Member) -> bool {
+    fn zone_accepts_member(self, members: &[Member], own: &Member) -> bool {
         let is_below_limit = members_in_zone(members, own) < self.tolerated_losses;
         !self.tolerates_zone_loss || is_below_limit || is_broken(Rule::LedgerZonesHoldFewMembers)
     }
@@ -149,7 +149,7 @@
     fn next_founder(self, chosen: &[Member], remaining: &[&Candidate], maxima: &[f64; 4]) -> Option<usize> {
         let remaining_in_zone =
             |zone: &str| remaining.iter().filter(|candidate| candidate.member.zone == zone).count();
-        let may_join = |index: &usize| self.zone_has_room(chosen, &remaining[*index].member);
+        let may_join = |index: &usize| self.zone_accepts_member(chosen, &remaining[*index].member);
         (0..remaining.len()).filter(may_join).min_by_key(|index| {
             let Candidate { member, capacity } = remaining[*index];
             // Rounded to tenths, so that small differences do not decide.
@@ -164,7 +164,7 @@
     /// regions, and a new member reads all of it.
     pub fn decide_membership(
         self,
-        places: &Topology,
+        topology: &Topology,
         map: &GroupMap,
         own: &Member,
         watch: &MemberWatch,
@@ -188,13 +188,13 @@
                 None => MembershipDecision::Keep,
             };
         }
-        let groups_in_region = || map.groups().iter().filter(|group| shares_region(places, group, own));
+        let groups_in_region = || map.groups().iter().filter(|group| shares_region(topology, group, own));
         // Does not join beside an unresponsive member: if another disk were lost, two members would have no vote and no
         // spare would remain. The unresponsive member soon answers again or can be replaced.
         let is_too_small =
             |group: &&Arc<Group>| group.members.len() < self.size() && !watch.has_unresponsive_member(group);
-        let too_small =
-            groups_in_region().filter(|group| is_too_small(group) && self.zone_has_room(&group.members, own));
+        let too_small = groups_in_region()
+            .filter(|group| is_too_small(group) && self.zone_accepts_member(&group.members, own));
         if let Some(group) =
             too_small.min_by_key(|group| (group.members.len(), members_in_zone(&group.members, own)))
         {
@@ -203,7 +203,7 @@
         let lost = groups_in_region().filter_map(|group| {
             let lost = watch
                 .replaceable_members(group, replacement, now)
-                .find(|lost| self.zone_has_room(&group.without_member(lost).members, own))?;
+                .find(|lost| self.zone_accepts_member(&group.without_member(lost).members, own))?;
             Some((group, lost))
         });
         match lost.min_by_key(|(group, _)| members_in_zone(&group.members, own)) {
@@ -216,8 +216,8 @@
 }
 
 /// Whether a group has a member in the machine's region, or no members.
-fn shares_region(places: &Topology, group: &Group, own: &Member) -> bool {
-    let is_near = |member: &Member| places.nearness(&member.zone, &own.zone) != Nearness::OtherRegion;
+fn shares_region(topology: &Topology, group: &Group, own: &Member) -> bool {
+    let is_near = |member: &Member| topology.nearness(&member.zone, &own.zone) != Nearness::OtherRegion;
     let is_empty = group.members.is_empty();
     is_empty || group.members.iter().any(is_near) || is_broken(Rule::LedgerStaysInItsRegions)
 }
--- a/crates/ledger/src/quota_message.rs
+++ b/crates/ledger/src/quota_message.rs
@@ -57,7 +57,7 @@
     pub node: String,
     /// Incarnation of the node's process; totals restart at 0 with each.
     #[prost(uint64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether the node knows all calls of the last window.
     #[prost(bool, tag = "3")]
     pub is_warm: bool,
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -158,8 +158,8 @@
         self.complete_join_epoch.is_none()
     }
 
-    /// Whether the replica holds everything that it acknowledged as a founding member and so may found a group.
-    pub fn may_found(&self) -> bool {
+    /// Whether the replica holds everything that it acknowledged as a founding member, and so may bootstrap a group.
+    pub fn may_bootstrap(&self) -> bool {
         self.complete_join_epoch == Some(FOUNDING_EPOCH)
     }
 
@@ -427,7 +427,7 @@
         StatusReply {
             node: self.settings.node.clone(),
             is_voting: self.is_voting(),
-            may_found: self.may_found(),
+            may_bootstrap: self.may_bootstrap(),
             group: (self.group.epoch > 0).then(|| self.group.to_message()),
             ..StatusReply::default()
         }
--- a/crates/ledger/tests/member_removal.rs
+++ b/crates/ledger/tests/member_removal.rs
@@ -130,7 +130,7 @@
 
 #[test]
 fn groups_of_even_size_are_not_shrunk() {
-    // Shrinking an even group would shrink its majority, so that both sides of a partition could go on.
+    // Shrinking an even group would shrink its majority, so that both sides of a partition could have one.
     assert!(!Scenario::new(&["a", "lost"], true).removes_lost_member(LONG_SILENCE_MILLIS, &[]));
     let unresponsive = || report_unresponsive(&[("lost", LONG_SILENCE_MILLIS)]);
     let mut four = Scenario::new(&["a", "b", "c", "lost"], true);
--- a/crates/ledger/tests/mutants.rs
+++ b/crates/ledger/tests/mutants.rs
@@ -33,7 +33,7 @@
 
 fn joins_group_in_another_region() -> bool {
     let region = |name: &str| RegionName::new(name).expect("valid region name");
-    let places = Topology::new(
+    let topology = Topology::new(
         [("z1", "a"), ("z2", "b")].map(|(zone, region_name)| (Arc::from(zone), region(region_name))),
     );
     let member = |node: &str, zone: &str| Member {
@@ -45,7 +45,7 @@
     let map = GroupMap::new(vec![Group::initial(vec![member("a", "z1")])]);
     let (policy, watch) = (GroupPolicy::tolerating(1), MemberWatch::default());
     let step = policy.decide_membership(
-        &places,
+        &topology,
         &map,
         &member("b", "z2"),
         &watch,
--- a/crates/ledger/tests/placement.rs
+++ b/crates/ledger/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Founding of groups, and the group changes that machines request.
+//! Bootstrap of groups, and the group changes that machines request.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -275,12 +275,12 @@
 #[test]
 fn group_does_not_expand_to_another_region() {
     let policy = GroupPolicy::tolerating(2);
-    let places = two_regions();
+    let topology = two_regions();
     let watch = MemberWatch::default();
     let small = Group::initial(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
     let step = |zone: &str| {
         policy.decide_membership(
-            &places,
+            &topology,
             &single_group(small.clone()),
             &member("f", zone),
             &watch,
@@ -297,7 +297,7 @@
 #[test]
 fn lost_member_is_not_replaced_from_another_region() {
     let policy = GroupPolicy::tolerating(1);
-    let places = two_regions();
+    let topology = two_regions();
     let group = Group::initial(["a", "b", "c"].map(|node| member(node, "a1")).to_vec());
     let mut watch = MemberWatch::default();
     for (node, is_lost) in [("a", true), ("b", false), ("c", false)] {
@@ -310,7 +310,7 @@
     }
     let step = |zone: &str| {
         policy.decide_membership(
-            &places,
+            &topology,
             &single_group(group.clone()),
             &member("f", zone),
             &watch,
--- a/crates/ledger/tests/recorded_forms/samples.rs
+++ b/crates/ledger/tests/recorded_forms/samples.rs
@@ -98,7 +98,7 @@
 
 fn quota_totals(recent: u64) -> RequestKind {
     let totals = vec![TenantTotalMessage { tenant: text("t1"), calls: 40, recent }];
-    RequestKind::QuotaTotals(QuotaTotals { node: text("m1"), life: 77, is_warm: true, totals })
+    RequestKind::QuotaTotals(QuotaTotals { node: text("m1"), incarnation: 77, is_warm: true, totals })
 }
 
 fn vote() -> ReplyKind {
@@ -120,11 +120,11 @@
     StatusReply {
         node: text("m1"),
         is_voting: true,
-        may_found: true,
+        may_bootstrap: true,
         group: Some(group(number)),
         is_watching: false,
         silent: Vec::new(),
-        offers_seat: false,
+        offers_membership: false,
     }
 }
 
@@ -169,14 +169,14 @@
             ("2", quota_totals(4)),
             ("1", RequestKind::Stopping(text("m2"))),
         ];
-        let news = Bytes::from_static(b"news");
+        let report = Bytes::from_static(b"news");
         let request =
-            |kind| LedgerRequest { epoch: EPOCH, kind: Some(kind), group: GROUP, news: news.clone() };
+            |kind| LedgerRequest { epoch: EPOCH, kind: Some(kind), group: GROUP, report: report.clone() };
         kinds.into_iter().map(|(form, kind)| (form, request(kind))).collect()
     }
 
     pub fn replies() -> Vec<(&'static str, LedgerReply)> {
-        let status = StatusReply { offers_seat: true, ..watching_status() };
+        let status = StatusReply { offers_membership: true, ..watching_status() };
         let quota =
             QuotaAnswer { decision: QuotaDecision::Exceeded as i32, retry_after_millis: 250, counted: 12 };
         let map = GroupMapMessage { groups: vec![GroupMessage { number: 0, ..group(GROUP) }, group(GROUP)] };
@@ -273,15 +273,16 @@
             RequestKind::Install(group(0)),
             RequestKind::Status(true),
         ];
-        let with_news = [begin(), end(), page_request(0, true)];
+        let with_report = [begin(), end(), page_request(0, true)];
         let with_group = [quota(None), quota_totals(0)];
-        let news = Bytes::from_static(b"news");
+        let report = Bytes::from_static(b"news");
         let plain = |kind| LedgerRequest { epoch: EPOCH, kind: Some(kind), ..LedgerRequest::default() };
         let first = first.map(|kind| ("1", plain(kind)));
-        let with_news = with_news.map(|kind| ("2", LedgerRequest { news: news.clone(), ..plain(kind) }));
-        let with_group =
-            with_group.map(|kind| ("1", LedgerRequest { news: news.clone(), group: GROUP, ..plain(kind) }));
-        first.into_iter().chain(with_news).chain(with_group).collect()
+        let with_report =
+            with_report.map(|kind| ("2", LedgerRequest { report: report.clone(), ..plain(kind) }));
+        let with_group = with_group
+            .map(|kind| ("1", LedgerRequest { report: report.clone(), group: GROUP, ..plain(kind) }));
+        first.into_iter().chain(with_report).chain(with_group).collect()
     }
 
     pub fn replies() -> Vec<(&'static str, LedgerReply)> {
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -53,7 +53,7 @@
     },
     /// A member is shutting down.
     Leaving(Member),
-    /// Others declared this node dead; it refuted.
+    /// Other nodes declared this node dead; it refuted this.
     DeathRefuted,
     /// A later incarnation of this node exists: this process was replaced and must stop.
     Replaced,
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -18,9 +18,9 @@
     AppendReply(AppendReply),
     /// Snapshot for a replica that needs entries already removed from the leader's log.
     InstallSnapshot(InstallSnapshot),
-    /// Tells a follower to start an election at once, for leadership transfer.
+    /// Makes a follower start an election at once, for leadership transfer.
     TimeoutNow { term: Term },
-    /// Tells a replica that it has been removed from the group.
+    /// Notifies a replica of its removal from the group.
     NotMember {
         term: Term,
         /// `last_index` of the vote request that this message replies to.
--- a/crates/routing/src/peer_load.rs
+++ b/crates/routing/src/peer_load.rs
@@ -41,7 +41,7 @@
             running: f64::from(load.running),
             unread_tokens: f64::from(load.unread_tokens),
             failed: load.failed,
-            served: load.served,
+            served: load.succeeding_edges,
             recent: CallCounts { ended: load.recent_ended, failed: load.recent_failed },
         }
     }
--- a/crates/routing/src/registry.rs
+++ b/crates/routing/src/registry.rs
@@ -288,13 +288,13 @@
                 running: number(engine.running as u64),
                 unread_tokens: number(engine.unread_tokens),
                 failed: failed.unwrap_or(0),
-                served: u32::from(peers_report_failures && failed == Some(0)),
+                succeeding_edges: u32::from(peers_report_failures && failed == Some(0)),
                 recent_ended: recent.ended,
                 recent_failed: recent.failed,
             }
         };
         let is_reportable =
-            |load: &EngineLoad| load.running + load.failed + load.served + load.recent_ended > 0;
+            |load: &EngineLoad| load.running + load.failed + load.succeeding_edges + load.recent_ended > 0;
         Loads { engines: self.engines.distinct().map(load_of).filter(is_reportable).collect() }
     }
 }
--- a/crates/routing/tests/engines.rs
+++ b/crates/routing/tests/engines.rs
@@ -244,8 +244,8 @@
 #[test]
 fn engine_failing_for_peers_is_avoided_before_an_own_failure() {
     let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
-    let report = |failed, served| {
-        let load = EngineLoad { engine: engine_key("a"), failed, served, ..EngineLoad::default() };
+    let report = |failed, succeeding_edges| {
+        let load = EngineLoad { engine: engine_key("a"), failed, succeeding_edges, ..EngineLoad::default() };
         Loads { engines: vec![load] }
     };
     let is_avoided = |registry: &EngineRegistry, now| {
@@ -283,5 +283,5 @@
     assert!(registry.load_report(NOW + Duration::from_secs(3)).engines.is_empty());
     let load = EngineLoad { engine: engine_key("a"), failed: 1, ..EngineLoad::default() };
     registry.apply_peer_loads(&Loads { engines: vec![load] }, NOW);
-    assert_eq!(registry.load_report(NOW).engines[0].served, 1);
+    assert_eq!(registry.load_report(NOW).engines[0].succeeding_edges, 1);
 }
--- a/crates/shard/src/replica.rs
+++ b/crates/shard/src/replica.rs
@@ -43,7 +43,7 @@
     /// This replica is no longer the leader. Unanswered commands must be retried with its successor.
     LostLeadership,
     /// Committed data could not be decoded, possibly because a newer version wrote it. The replica must be dropped, as
-    /// its state would diverge from that of the others.
+    /// its state would diverge from that of the other replicas.
     Undecodable,
 }
 
@@ -203,7 +203,7 @@
     }
 
     /// Resets the leader's volatile state after the log rejected a proposal, for example during a leadership transfer:
-    /// the entries that it counts as proposed would never be applied. Callers are told to retry.
+    /// the entries that it counts as proposed would never be applied. Callers get an error and must retry.
     fn reset_leader(&mut self) {
         self.leader = self.leader.is_some().then(|| ShardLeader::new(self.settings.leader));
         self.outputs.push(ShardOutput::LostLeadership);
--- a/crates/storage/src/begin_turn.rs
+++ b/crates/storage/src/begin_turn.rs
@@ -13,7 +13,7 @@
     pub round: Duration,
     /// Recording the end of a turn, over all rounds.
     pub end: Duration,
-    /// Beginning a turn, over all rounds; after it the caller is told to retry, with most of its time left.
+    /// Beginning a turn, over all rounds; after it the caller must retry; most of its own timeout is left then.
     pub begin: Duration,
 }
 
@@ -39,7 +39,7 @@
     /// Whether the content of the chain must be returned.
     pub needs_chain: bool,
     /// Encoded [`sumacdrift_fleet_view::NodeReport`] sent along with the request.
-    pub news: Bytes,
+    pub report: Bytes,
 }
 
 /// An admitted turn.
--- a/crates/storage/src/catch_up.rs
+++ b/crates/storage/src/catch_up.rs
@@ -15,7 +15,7 @@
 /// Timeout for one page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads the members that are still needed, as far as they reply; returns whether the replica votes now.
+/// Reads those of the still needed members that reply; returns whether the replica votes now.
 pub(crate) async fn catch_up(host: &ReplicaHost, transport: &Transport, own_node: &str) -> bool {
     let group = host.replica().group().clone();
     // Replicas that catch up at the same time start with different members.
--- a/crates/storage/src/chain_search.rs
+++ b/crates/storage/src/chain_search.rs
@@ -114,7 +114,7 @@
     }
 
     /// Begins a turn whose previous turn is not known to the program's own group: finds the chain in the
-    /// other groups, and lets the own one decide on the rest.
+    /// other groups, and has the own one decide on everything else.
     pub(crate) async fn begin_with_foreign_chain(
         &self,
         group: &Arc<Group>,
--- a/crates/storage/src/circuit_breaker.rs
+++ b/crates/storage/src/circuit_breaker.rs
@@ -12,8 +12,8 @@
 const UNAVAILABLE_AFTER: Duration = Duration::from_millis(900);
 /// Interval of probe requests to an unavailable group.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Retry delay given to callers of an unavailable group: it is probed a few times meanwhile, and two tries of
-/// a caller span the second or so that a restart takes.
+/// Retry delay given to callers of an unavailable group: it is probed a few times meanwhile, and two retries
+/// cover the restart of a process, which takes about a second.
 const RETRY_AFTER: Duration = Duration::from_millis(600);
 
 /// Breaker of one group.
@@ -68,7 +68,7 @@
         breaker.in_flight = breaker.in_flight.saturating_sub(1);
         let was_unavailable = breaker.is_unavailable(now);
         if !is_decided {
-            // A caller that left early says nothing about the group.
+            // An abandoned request does not show whether the group is available.
             if breaker.in_flight == 0 && !was_unavailable {
                 breaker.undecided_since = None;
             }
--- a/crates/storage/src/client.rs
+++ b/crates/storage/src/client.rs
@@ -23,9 +23,9 @@
 use crate::member_answers::UndecidedLogLimiter;
 use crate::member_client::MemberClient;
 use crate::member_selection::MemberSelection;
-use crate::news_board::{ViewSink, forward_view};
+use crate::report_board::{ViewSink, forward_view};
 use crate::retry_budget::RetryBudget;
-use crate::rpc::{encode_news, encode_to_node, encode_with_news, send_request, send_request_with_view};
+use crate::rpc::{encode_report, encode_to_node, encode_with_report, send_request, send_request_with_view};
 use crate::zone_boards::{boards_by_distance, uses_zone_boards};
 
 /// Pause before all members are asked again.
@@ -203,8 +203,8 @@
         }
         let mut in_flight = InFlightRequest { client: self, group: group.number, is_decided: false };
         let members: Vec<SocketAddr> = group.members.iter().map(|member| member.address).collect();
-        // While all nodes are starting, the group is available within moments and callers have few tries: no
-        // begin timeout then.
+        // While all nodes are starting, the group becomes available soon and callers make few retries, so the
+        // begin timeout does not apply.
         let has_had_reply = self.member_client.routes().has_had_reply();
         let until = if has_had_reply { until.min(now + self.timeouts.begin) } else { until };
         let outcome = tokio::select! {
@@ -231,20 +231,22 @@
         self.member_client.routes().record_any_reply();
     }
 
-    /// Whether news of this node go to the board of its zone instead of along with each request.
+    /// Whether reports of this node go to the board of its zone instead of along with each request.
     pub fn uses_zone_board(&self) -> bool {
         uses_zone_boards(&self.map())
     }
 
-    /// Sends news to the board of the own zone, and passes the view in its reply to the sink.
-    pub async fn report_to_zone_board(&self, news: Bytes) {
+    /// Sends a report to the board of the own zone, and passes the view in its reply to the sink.
+    pub async fn report_to_zone_board(&self, report: Bytes) {
         let map = self.map();
         let now = Instant::now();
         let boards = boards_by_distance(&map, &self.location);
         let healthy = boards.iter().find(|member| !self.member_selection().is_suspect(&member.node, now));
         let Some(board) = healthy.or(boards.first()) else { return };
-        match send_request_with_view(&self.transport, board.address, encode_news(news), BOARD_TIMEOUT).await {
-            // A reply to news carries only a view.
+        match send_request_with_view(&self.transport, board.address, encode_report(report), BOARD_TIMEOUT)
+            .await
+        {
+            // A reply to a report carries only a view.
             Some(answer) => drop(forward_view(self.views().as_ref(), answer)),
             None => self.member_selection().mark_suspect(&board.node, Instant::now()),
         }
@@ -286,7 +288,7 @@
                 previous: begin.previous.clone(),
                 wants_chain,
             };
-            encode_with_news(group, RequestKind::Begin(request), begin.news.clone())
+            encode_with_report(group, RequestKind::Begin(request), begin.report.clone())
         };
         group_request.start(group.majority(), &request_for);
         let mut quorum = BeginQuorum::new(group.majority(), begin.budget_tokens, begin.turn.max_tokens);
@@ -346,13 +348,13 @@
         Ok(admission)
     }
 
-    /// Records the end of a turn, with news for the hosts; returns once a majority has it on disk.
-    pub async fn end(&self, turn: TurnEnded, news: Bytes) -> Result<(), LedgerError> {
+    /// Records the end of a turn, with a report for the hosts; returns once a majority has it on disk.
+    pub async fn end(&self, turn: TurnEnded, report: Bytes) -> Result<(), LedgerError> {
         let deadline = Instant::now() + self.timeouts.end;
         loop {
             let group = self.group_of(&turn.program);
             let round = deadline.min(Instant::now() + self.timeouts.round);
-            match self.end_in_group(&group, &turn, news.clone(), round).await {
+            match self.end_in_group(&group, &turn, report.clone(), round).await {
                 // The group has changed: retry with the newer version.
                 None if Instant::now() < deadline => {}
                 Some(Err(LedgerError::Unavailable)) if Instant::now() < deadline => {
@@ -368,10 +370,10 @@
         &self,
         group: &Arc<Group>,
         turn: &TurnEnded,
-        news: Bytes,
+        report: Bytes,
         deadline: Instant,
     ) -> Option<Result<(), LedgerError>> {
-        let request = encode_with_news(group, RequestKind::End(End { turn: Some(turn.clone()) }), news);
+        let request = encode_with_report(group, RequestKind::End(End { turn: Some(turn.clone()) }), report);
         let request_for = |_: &Member| request.clone();
         let mut group_request = self.group_request(group, &turn.program, deadline);
         group_request.start(group.majority(), &request_for);
--- a/crates/storage/src/directory.rs
+++ b/crates/storage/src/directory.rs
@@ -37,7 +37,7 @@
 pub struct Registration {
     pub member: Member,
     pub capacity: Capacity,
-    pub may_found: bool,
+    pub may_bootstrap: bool,
 }
 
 /// A request to drain a machine.
--- a/crates/storage/src/directory_feed.rs
+++ b/crates/storage/src/directory_feed.rs
@@ -45,7 +45,7 @@
     }
 
     /// Directory content according to the feed. Registrations are left out: they matter only before groups
-    /// are founded.
+    /// are bootstrapped.
     pub(crate) fn directory_view(&self) -> DirectoryView {
         let groups = self.item(ItemKind::Groups, GROUPS_ITEM);
         let map =
--- a/crates/storage/src/feed_host.rs
+++ b/crates/storage/src/feed_host.rs
@@ -1,4 +1,5 @@
-//! Feed of one node: filled by whoever follows the outside store, and queried by followers on other nodes.
+//! Feed of one node: filled from the outside store or from feeds of other nodes, and queried by followers on
+//! other nodes.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,22 +17,22 @@
 /// Maximum time that a follow request is held.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Configuration age above which a confirmation wakes followers: they may be about to reject calls, or have
-/// begun to.
+/// Configuration age above which a confirmation wakes followers at once: they may soon reject calls, or
+/// already do.
 pub const CONFIRMATION_NOTIFY_AGE: Duration = Duration::from_millis(2500);
 
 /// A feed that other nodes follow.
 pub struct FeedHost {
     feed: Mutex<Feed>,
     change_count: watch::Sender<u64>,
-    /// Since when no merged feed is of a node that hears from the store.
+    /// Since when no merged feed belongs to a node in contact with the store.
     without_current_peer_since: Mutex<Option<Instant>>,
     started: Instant,
     logger: Logger,
 }
 
 impl FeedHost {
-    /// A feed restored from the snapshot of an earlier life.
+    /// A feed restored from the snapshot of an earlier process.
     pub fn new(snapshot: Snapshot, logger: Logger) -> Self {
         let mut feed = Feed::new(rand::random());
         feed.restore(snapshot);
@@ -65,7 +66,7 @@
         self.update(|feed| feed.remove(kind, name, revision));
     }
 
-    /// Records that the store does not answer about a kind.
+    /// Records that a request to the store for a kind failed.
     pub fn record_store_failure(&self, kind: ItemKind) {
         self.update(|feed| feed.record_store_failure(kind));
     }
@@ -122,8 +123,8 @@
         self.feed().is_current()
     }
 
-    /// How long no merged feed has been of a node that hears from the store. The time starts at the first
-    /// call that finds none.
+    /// Time without a merged feed of a node in contact with the store, counted from the first call that finds
+    /// none.
     pub fn time_without_current_peer(&self) -> Duration {
         let mut without_current_peer_since =
             self.without_current_peer_since.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/storage/src/feed_peers.rs
+++ b/crates/storage/src/feed_peers.rs
@@ -21,12 +21,12 @@
 use crate::follower::{FEED_WAIT, follow_feed};
 use crate::member_order::by_key;
 
-/// Number of feeds that a node merges which does not follow the store itself: one may be silent unnoticed for
-/// a second.
+/// Number of feeds merged by a node that does not follow the store itself. More than one, as an unresponsive
+/// feed is noticed only after a second.
 const SOURCES: usize = 2;
 /// Interval at which the set of sources is updated.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a feed that did not reply is avoided if there are others.
+/// How long a feed that did not reply is avoided while other feeds are available.
 const AVOID_DURATION: Duration = Duration::from_secs(2);
 /// Pause after a reply that returned at once without changes.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Feeds to merge: all others for a node that follows the store, a few for the rest.
+    /// Feeds to merge: those of all store followers for a node that follows the store itself, [`SOURCES`] of them
+    /// for any other node.
     fn wanted_sources(&self, avoided: &HashMap<SocketAddr, Instant>) -> Vec<SocketAddr> {
         let followers = (self.store_followers)();
         let follows_store = followers.iter().any(|member| member.node == self.node);
--- a/crates/storage/src/follower.rs
+++ b/crates/storage/src/follower.rs
@@ -34,12 +34,12 @@
 pub trait FollowerSink: Send + Sync + 'static {
     /// Applies changes of a feed.
     fn apply(&self, changes: Changes);
-    /// Applies the newer configuration and evacuations of a feed that does not hear the store. Items missing
+    /// Applies the newer configuration and evacuations of a feed without contact to the store. Items missing
     /// there are not deleted.
     fn apply_newer(&self, changes: &Changes);
     /// Records that the configuration applied last was the newest in the store at this time.
     fn record_confirmation(&self, as_of: Instant);
-    /// Whether anything is known, from whatever source.
+    /// Whether any data was received, from a feed or the store.
     fn has_data(&self) -> bool;
     /// Starts to follow the store itself; dropping the set ends it.
     fn follow_store(&self) -> JoinSet<()>;
@@ -73,7 +73,7 @@
 }
 
 impl Follower {
-    /// Creates a follower that knows nothing yet.
+    /// Creates a follower without data.
     pub fn new(
         settings: FollowerSettings,
         ledger: Arc<LedgerClient>,
@@ -110,8 +110,8 @@
                     self.start_following_store();
                     tokio::time::sleep(until.since(self.now())).await;
                 }
-                NextSource::Feed { place, may_wait } => {
-                    let outcome = self.ask_feed_and_apply(feeds[place], may_wait).await;
+                NextSource::Feed { index, may_wait } => {
+                    let outcome = self.ask_feed_and_apply(feeds[index], may_wait).await;
                     choice.record_outcome(outcome);
                     if outcome != FeedOutcome::Current {
                         tokio::time::sleep(RETRY_PAUSE).await;
@@ -135,9 +135,9 @@
         self.ledger.record_any_reply();
         let outcome = if changes.is_current { FeedOutcome::Current } else { FeedOutcome::Stale };
         let is_same_feed = changes.incarnation == self.incarnation;
-        // A feed without the store may be stale; it is followed only by nodes that know nothing. Its
-        // configuration comes with its age and is used if it is newer, without waiting for a node that hears
-        // all of the store.
+        // A feed without contact to the store may be stale; it is followed only by nodes without data. Its
+        // configuration comes with its age and is applied if it is newer, without waiting for a feed that is
+        // current.
         if outcome == FeedOutcome::Stale && !is_same_feed && self.sink.has_data() {
             self.sink.apply_newer(&changes);
             self.report_confirmation(configuration_confirmed);
@@ -155,8 +155,9 @@
         outcome
     }
 
-    /// Asks a feed directly, and through a relay if it does not reply. Otherwise a node that is partitioned
-    /// from all members would know too little of keys after some seconds, and reject its callers.
+    /// Asks a feed directly, and through a relay if it does not reply. Otherwise the configuration of a
+    /// node that is partitioned from all members would become too old to check keys after some seconds, and
+    /// the node would reject its callers.
     async fn request_with_fallback(&mut self, feed: SocketAddr, wait: Duration) -> Option<FeedReply> {
         let uses_relay = self.relay_until.is_some_and(|until| until > Instant::now());
         if !uses_relay {
@@ -165,7 +166,7 @@
                 return reply;
             }
         }
-        // A node that knows nothing would be sent a full snapshot. When all nodes start at once, members are
+        // A node without data would be sent a full snapshot. When all nodes start at once, members are
         // late because they serve snapshots to all, and relayed requests would add to that load.
         if !self.sink.has_data() {
             return None;
--- a/crates/storage/src/group_maintenance.rs
+++ b/crates/storage/src/group_maintenance.rs
@@ -25,16 +25,16 @@
 /// Interval of maintenance rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum time that founding waits for more machines.
-const MAX_FOUNDING_WAIT: Duration = Duration::from_secs(4);
-/// Time without further registrations after which the groups are founded: machines that start together
+const MAX_BOOTSTRAP_WAIT: Duration = Duration::from_secs(4);
+/// Time without further registrations after which the groups are bootstrapped: machines that start together
 /// register within a fraction of a second.
-const FOUNDERS_SETTLE_TIME: Duration = Duration::from_millis(800);
-/// Maximum random delay before a machine requests a change that others may want too.
+const REGISTRATION_SETTLE_TIME: Duration = Duration::from_millis(800);
+/// Maximum random delay before a machine requests a change that other machines may request too.
 const MAX_RANDOM_DELAY: Duration = Duration::from_millis(200);
 /// Additional delay for each member that the zone of the machine already has.
 const DELAY_PER_ZONE_MEMBER: Duration = Duration::from_millis(200);
-/// Delay before an incomplete replica reads other members, so that no request that an earlier life took part
-/// in can still gather votes.
+/// Delay before an incomplete replica reads other members, so that no request that an earlier process
+/// voted on can still gather votes.
 const QUIET_BEFORE_CATCH_UP: Duration = Duration::from_millis(1100);
 /// Interval of expiry and snapshot checks.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
@@ -49,7 +49,7 @@
     /// Target size of the groups.
     pub policy: GroupPolicy,
     /// Region of each zone.
-    pub places: Arc<Topology>,
+    pub topology: Arc<Topology>,
     /// Time within which a machine that starts empty must vote in place of a lost one. Until then the
     /// deployment counts the loss, and another one may follow after it.
     pub catch_up_time: Duration,
@@ -70,9 +70,9 @@
     has_handed_over: bool,
     /// Departed members without a replacement, until the remaining members were read.
     removed: Vec<String>,
-    /// Number of machines that may found the groups, and since when it is unchanged.
-    founder_count: usize,
-    founder_count_since: Instant,
+    /// Number of machines that may bootstrap the groups, and since when it is unchanged.
+    candidate_count: usize,
+    candidate_count_since: Instant,
 }
 
 impl GroupMaintenance {
@@ -99,8 +99,8 @@
             is_retirement_reported: false,
             has_handed_over: false,
             removed: Vec::new(),
-            founder_count: 0,
-            founder_count_since: started,
+            candidate_count: 0,
+            candidate_count_since: started,
         }
     }
 
@@ -116,7 +116,7 @@
         loop {
             let current_view = self.current_view(view.borrow_and_update().clone());
             self.round(&current_view).await;
-            self.host.observe();
+            self.host.update_gauges();
             if self.expired_at.elapsed() >= EXPIRY_INTERVAL {
                 self.expired_at = Instant::now();
                 self.host.expire_and_snapshot().await;
@@ -141,7 +141,7 @@
         if view.is_known {
             self.register(view).await;
             match &view.map {
-                None => self.found_groups(view).await,
+                None => self.bootstrap_groups(view).await,
                 Some(stored) => self.maintain_membership(view, stored).await,
             }
         }
@@ -168,7 +168,7 @@
         replica.is_member() && !replica.is_voting()
     }
 
-    /// Adopts the newer version of the own group, or the group in which the node now has a seat.
+    /// Adopts the newer version of the own group, or the group of which the node is now a member.
     async fn adopt_groups(&mut self, map: &GroupMap) {
         let (before, record, group) = {
             let mut replica = self.host.replica();
@@ -190,39 +190,39 @@
         if self.is_registered || known || view.map.is_some() {
             return;
         }
-        let may_found = self.host.replica().may_found();
+        let may_bootstrap = self.host.replica().may_bootstrap();
         let capacity = self.settings.capacity;
-        let registration = Registration { member: own.clone(), capacity, may_found };
+        let registration = Registration { member: own.clone(), capacity, may_bootstrap };
         self.is_registered = self.directory.register(registration).await.is_ok();
     }
 
-    /// Founds the groups from the machines of the first start. Their number is not known in advance, so
-    /// founding waits until registrations have settled.
-    async fn found_groups(&mut self, view: &DirectoryView) {
-        if !self.host.replica().may_found() {
+    /// Bootstraps the groups from the machines of the first start. Their number is not known in advance, so
+    /// bootstrapping waits until registrations have settled.
+    async fn bootstrap_groups(&mut self, view: &DirectoryView) {
+        if !self.host.replica().may_bootstrap() {
             return;
         }
         let candidates: Vec<Candidate> = view
             .registered
             .iter()
-            .filter(|registration| registration.may_found)
+            .filter(|registration| registration.may_bootstrap)
             .map(|registration| Candidate {
                 member: registration.member.clone(),
                 capacity: registration.capacity,
             })
             .collect();
-        if self.founder_count != candidates.len() {
-            (self.founder_count, self.founder_count_since) = (candidates.len(), Instant::now());
+        if self.candidate_count != candidates.len() {
+            (self.candidate_count, self.candidate_count_since) = (candidates.len(), Instant::now());
         }
-        let has_settled = self.founder_count_since.elapsed() >= FOUNDERS_SETTLE_TIME;
-        let has_waited = self.started.elapsed() >= MAX_FOUNDING_WAIT && !candidates.is_empty();
+        let has_settled = self.candidate_count_since.elapsed() >= REGISTRATION_SETTLE_TIME;
+        let has_waited = self.started.elapsed() >= MAX_BOOTSTRAP_WAIT && !candidates.is_empty();
         if !(has_waited || has_settled && candidates.len() >= self.settings.policy.size()) {
             return;
         }
         let first = candidates.iter().map(|candidate| &candidate.member.node).min();
         let is_first = first == Some(&self.settings.own.node);
-        // The first machine by name founds; the others do so only if it fails to.
-        if !is_first && self.started.elapsed() < MAX_FOUNDING_WAIT + FOUNDERS_SETTLE_TIME {
+        // The first machine by name bootstraps the groups; the other ones do so only if it fails to.
+        if !is_first && self.started.elapsed() < MAX_BOOTSTRAP_WAIT + REGISTRATION_SETTLE_TIME {
             return;
         }
         let map = self.settings.policy.initial_group_map(&candidates);
@@ -252,7 +252,7 @@
             return;
         }
         let step = self.settings.policy.decide_membership(
-            &self.settings.places,
+            &self.settings.topology,
             &stored.map,
             &own,
             &self.watcher.watch(),
@@ -265,14 +265,14 @@
                 let change_wanted_since = *self.change_wanted_since.get_or_insert_with(Instant::now);
                 if change_wanted_since.elapsed() >= change_delay(&group, &own, reason) {
                     self.change_wanted_since = None;
-                    self.request_seat(stored, group, reason).await;
+                    self.request_membership(stored, group, reason).await;
                 }
             }
         }
     }
 
-    /// Requests the change that gives this machine a seat, or updates its address.
-    async fn request_seat(&mut self, stored: &StoredMap, group: Group, reason: ChangeReason) {
+    /// Requests the change that makes this machine a member, or updates its address.
+    async fn request_membership(&mut self, stored: &StoredMap, group: Group, reason: ChangeReason) {
         if reason == ChangeReason::Joined {
             let record = self.host.replica().prepare_join(group.epoch);
             if let Err(failure) = self.host.commit(vec![record]).await {
--- a/crates/storage/src/group_request.rs
+++ b/crates/storage/src/group_request.rs
@@ -1,5 +1,5 @@
-//! One request to a group: sent to as many members as are needed at first, and to others when those are late
-//! or unusable.
+//! One request to a group: sent first to as many members as a decision needs, and to the remaining ones when
+//! replies are late or unusable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::client::LedgerClient;
 use crate::member_answers::MemberAnswer;
 use crate::member_client::{MIN_RELAY_DELAY, MemberClient};
-use crate::news_board::{ViewSink, forward_view};
+use crate::report_board::{ViewSink, forward_view};
 use crate::retry_budget::RetryBudget;
 use crate::rpc::{encode, send_request};
 
@@ -51,7 +51,7 @@
 }
 
 impl<'a> GroupRequest<'a> {
-    /// A request that was sent to nobody yet; `order` is the order in which members are asked.
+    /// A request that was sent to no member yet; `order` is the order in which members are asked.
     pub(crate) fn new(
         client: &'a LedgerClient,
         group: Arc<Group>,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Sends the request to the remaining members, as far as the retry budget allows; tries again after the
-    /// hedge delay if it does not.
+    /// Sends the request to the remaining members until the retry budget is exhausted; if it is, continues after
+    /// the hedge delay.
     fn hedge(&mut self, request_for: &impl Fn(&Member) -> Bytes) {
         while self.asked_count < self.order.len() {
             if !self.client.retry_budget().try_withdraw(Instant::now()) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Logs what each member replied, unless a line about another undecided request was logged just now.
+    /// Logs what each member replied, unless one about another undecided request was logged shortly before.
     pub(crate) fn report_undecided(&self, call: &str, program: &str) {
         let Some(suppressed) = self.client.take_undecided_log_slot() else { return };
         let answers = self.order.iter().zip(&self.answers);
@@ -195,7 +195,7 @@
         self.asked_count += 1;
         self.answers[position] = MemberAnswer::Silent;
         tokio::spawn(async move {
-            // The receiver may be gone once the request is decided.
+            // The receiver may have been dropped once the request is decided.
             let reply = task
                 .run(|answer| drop(sender.try_send(MemberEvent::FirstAttemptFailed(position, answer))))
                 .await;
--- a/crates/storage/src/host.rs
+++ b/crates/storage/src/host.rs
@@ -36,8 +36,8 @@
 use crate::directory::DirectoryView;
 use crate::feed_host::FeedHost;
 use crate::known_map::KnownMap;
-use crate::news_board::NewsBoard;
 use crate::quota_host::QuotaHost;
+use crate::report_board::HostReportBoard;
 
 /// Minimum number of journal bytes since the last snapshot before another one is taken.
 const MIN_SNAPSHOT_BYTES: u64 = 48 << 20;
@@ -49,13 +49,14 @@
 
 /// Commits that take longer are logged: callers wait for them, and a sync should take milliseconds.
 const SLOW_COMMIT_THRESHOLD: Duration = Duration::from_millis(300);
-/// How long no node may have heard the store until members of the second group follow it too: longer than it
-/// takes to give up a feed, and well within the seconds in which a configuration must be in force.
-const STAND_IN_AFTER: Duration = Duration::from_millis(1800);
-/// How long a request for a seat stays valid; waiting machines repeat it four times a second.
-const SEAT_REQUEST_TTL: Duration = Duration::from_secs(1);
-/// Value of the `group` metric where the node has no seat.
-const NO_SEAT: i64 = -1;
+/// Time without a merged feed in contact with the store after which a member of the second group follows the
+/// store itself. Longer than it takes to give up a feed, and well within the seconds in which a configuration
+/// must be in force.
+const STORE_TAKEOVER_DELAY: Duration = Duration::from_millis(1800);
+/// How long a request for membership stays valid; waiting machines repeat it four times a second.
+const MEMBERSHIP_REQUEST_TTL: Duration = Duration::from_secs(1);
+/// Value of the `group` metric where the node belongs to no group.
+const NO_GROUP: i64 = -1;
 /// Pause between two durable copies of the feed.
 const COPY_PAUSE: Duration = Duration::from_millis(500);
 
@@ -80,7 +81,7 @@
     Folder(#[from] std::io::Error),
     #[error("the journal can't be read: {0}")]
     Journal(#[from] JournalError),
-    /// The first records of this life could not be made durable.
+    /// The first records of this process could not be made durable.
     #[error("the first records could not be written: {0}")]
     FirstRecords(JournalFailure),
 }
@@ -152,23 +153,23 @@
     capacity_bytes: u64,
     metrics: HostMetrics,
     feed: Arc<FeedHost>,
-    news: NewsBoard,
+    board: HostReportBoard,
     quotas: QuotaHost,
     map: KnownMap,
     admission: Mutex<HostAdmission>,
-    /// Time of the last request of a machine that waits for a seat.
-    seat_requested_at: Mutex<Option<Instant>>,
-    offers_seat: AtomicBool,
-    /// Since when each unresponsive member has been silent for this node; `None` until it has looked.
+    /// Time of the last request of a machine that waits for membership of a group.
+    membership_requested_at: Mutex<Option<Instant>>,
+    offers_membership: AtomicBool,
+    /// Since when each unresponsive member has not replied to this node; `None` until the first check.
     unresponsive_since: Mutex<Option<BTreeMap<String, Instant>>>,
-    /// Members that announced a planned stop, until the watcher takes them.
+    /// Members that announced a planned stop, until the watcher processes them.
     planned_stops: Mutex<BTreeSet<String>>,
     journal_failed: CancellationToken,
     started: Instant,
     logger: Logger,
 }
 
-/// Accounts for a batch in the write queue until its commit ends or its caller is gone.
+/// Accounts for a batch in the write queue until its commit ends or its caller is cancelled.
 struct QueuedBatch<'a> {
     host: &'a ReplicaHost,
 }
@@ -204,7 +205,7 @@
             }
             Err(_) => unreadable += 1,
         })?;
-        // Segments of earlier lives take space until the next snapshot too.
+        // Segments of earlier processes take space until the next snapshot too.
         let snapshot_progress = SnapshotProgress::default();
         snapshot_progress.since_snapshot.store(journal.total_bytes(), Ordering::Relaxed);
         let first = replica.finish_replay();
@@ -221,12 +222,12 @@
             snapshot_progress,
             capacity_bytes: settings.capacity_bytes,
             metrics: HostMetrics::default(),
-            news: NewsBoard::new(),
+            board: HostReportBoard::new(),
             quotas,
             map: KnownMap::default(),
             admission: Mutex::new(HostAdmission::new(settings.waiting_bytes)),
-            seat_requested_at: Mutex::default(),
-            offers_seat: AtomicBool::new(false),
+            membership_requested_at: Mutex::default(),
+            offers_membership: AtomicBool::new(false),
             unresponsive_since: Mutex::default(),
             planned_stops: Mutex::default(),
             journal_failed: CancellationToken::new(),
@@ -242,14 +243,14 @@
         self.replica.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns when the journal has failed for good: the process must exit and restart from what is on disk.
-    /// If it stayed, it would look like a voting member and answer nobody.
+    /// Returns when the journal has failed permanently: the process must exit and restart from what is on disk.
+    /// Otherwise it would still count as a voting member, but acknowledge no request.
     pub async fn journal_failed(&self) {
         self.journal_failed.cancelled().await;
     }
 
     /// Name of this node.
-    pub fn node(&self) -> String {
+    pub fn node_name(&self) -> String {
         self.replica().node().to_owned()
     }
 
@@ -271,7 +272,7 @@
         self.feed.publish_directory(view);
     }
 
-    /// Directory content according to the feed, from other nodes or an earlier life; adopts its groups.
+    /// Directory content according to the feed, from other nodes or an earlier process; adopts its groups.
     pub(crate) fn load_directory_from_feed(&self) -> DirectoryView {
         let view = self.feed.directory_view();
         if let Some(stored) = &view.map {
@@ -292,14 +293,14 @@
         self.map().group(0).map(|group| group.members.clone()).unwrap_or_default()
     }
 
-    /// Whether this node follows the store: as a member of the first group, or as a stand-in in the second
-    /// one while none of the feeds it merges has heard the store for a while.
+    /// Whether this node follows the store: as a member of the first group, or as a member of the second
+    /// one that has merged no feed in contact with the store for `STORE_TAKEOVER_DELAY`.
     pub fn follows_store(&self) -> bool {
         let node = self.replica().node().to_owned();
         let map = self.map();
         match map.group_of_member(&node).map(|group| group.number) {
             Some(0) => true,
-            Some(1) => self.feed.time_without_current_peer() >= STAND_IN_AFTER,
+            Some(1) => self.feed.time_without_current_peer() >= STORE_TAKEOVER_DELAY,
             _ => false,
         }
     }
@@ -329,8 +330,7 @@
         &self.metrics
     }
 
-    /// Updates the gauges.
-    pub(crate) fn observe(&self) {
+    pub(crate) fn update_gauges(&self) {
         let replica = self.replica();
         let number = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.metrics.is_voting.set(i64::from(replica.is_voting()));
@@ -338,8 +338,8 @@
         self.metrics.programs.set(number(replica.state().program_count()));
         self.metrics.kept_turns.set(number(replica.state().retained_count()));
         self.metrics.epoch.set(i64::try_from(replica.group().epoch).unwrap_or(i64::MAX));
-        let seat = replica.is_member().then(|| i64::from(replica.group().number));
-        self.metrics.group.set(seat.unwrap_or(NO_SEAT));
+        let group = replica.is_member().then(|| i64::from(replica.group().number));
+        self.metrics.group.set(group.unwrap_or(NO_GROUP));
         self.metrics.waiting_bytes.set(number(self.admission().queued_bytes()));
     }
 
@@ -347,15 +347,15 @@
         &self.logger
     }
 
-    /// Whether a machine that waits for a seat asked recently.
-    pub(crate) fn is_seat_requested(&self) -> bool {
-        let requested_at = *self.seat_requested_at.lock().unwrap_or_else(PoisonError::into_inner);
-        requested_at.is_some_and(|requested_at| requested_at.elapsed() < SEAT_REQUEST_TTL)
+    /// Whether a machine that waits for membership asked recently.
+    pub(crate) fn is_membership_requested(&self) -> bool {
+        let requested_at = *self.membership_requested_at.lock().unwrap_or_else(PoisonError::into_inner);
+        requested_at.is_some_and(|requested_at| requested_at.elapsed() < MEMBERSHIP_REQUEST_TTL)
     }
 
-    /// Offers this node's seat in status replies from now on.
-    pub(crate) fn offer_own_seat(&self) {
-        self.offers_seat.store(true, Ordering::Relaxed);
+    /// Offers this node's membership of its group in all later status replies.
+    pub(crate) fn offer_membership(&self) {
+        self.offers_membership.store(true, Ordering::Relaxed);
     }
 
     /// Records the planned stop of a member of this group.
@@ -372,14 +372,14 @@
         std::mem::take(&mut *self.planned_stops.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Sets since when unresponsive members have been silent, for status replies.
+    /// Sets since when members have been unresponsive, for status replies.
     pub(crate) fn set_unresponsive_since(&self, unresponsive_since: BTreeMap<String, Instant>) {
         *self.unresponsive_since.lock().unwrap_or_else(PoisonError::into_inner) = Some(unresponsive_since);
     }
 
     /// Adds what this node sees of other members to a status reply.
     fn fill_status(&self, status: &mut StatusReply) {
-        status.offers_seat = self.offers_seat.load(Ordering::Relaxed);
+        status.offers_membership = self.offers_membership.load(Ordering::Relaxed);
         let unresponsive_since = self.unresponsive_since.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(unresponsive_since) = unresponsive_since.as_ref() else { return };
         status.is_watching = true;
@@ -485,9 +485,9 @@
         info!(self.logger, "snapshot written"; "event" => "snapshot", "bytes" => written, "segment" => number);
     }
 
-    /// News of this node's board for other boards.
-    pub(crate) fn board_news(&self, node: &str) -> Option<BoardReport> {
-        self.news.for_boards(node)
+    /// Report of this node's board for other boards.
+    pub(crate) fn board_report(&self, node: &str) -> Option<BoardReport> {
+        self.board.for_boards(node)
     }
 
     async fn answer(&self, bytes: Bytes) -> LedgerReply {
@@ -496,7 +496,7 @@
             return LedgerReply { kind: Some(kind), ..LedgerReply::default() };
         };
         self.metrics.requests.inc();
-        let news = std::mem::take(&mut request.news);
+        let report = std::mem::take(&mut request.report);
         if matches!(request.kind, Some(RequestKind::Map(_))) {
             let kind = Some(ReplyKind::Map(self.map().to_message()));
             return LedgerReply { kind, ..LedgerReply::default() };
@@ -515,10 +515,11 @@
         }
         if !self.admits(&request) {
             self.metrics.busy.inc();
-            return LedgerReply { kind: Some(ReplyKind::Busy(true)), view: self.news.exchange(news) };
+            return LedgerReply { kind: Some(ReplyKind::Busy(true)), view: self.board.exchange(report) };
         }
         if matches!(request.kind, Some(RequestKind::Status(false))) {
-            *self.seat_requested_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
+            *self.membership_requested_at.lock().unwrap_or_else(PoisonError::into_inner) =
+                Some(Instant::now());
         }
         let (group, epoch) = (request.group, request.epoch);
         let mut step = self.replica().handle(request, unix_millis());
@@ -536,7 +537,7 @@
             }
         };
         // Exchanged as late as possible, so that the view is fresh when the reply is sent.
-        LedgerReply { kind, view: self.news.exchange(news) }
+        LedgerReply { kind, view: self.board.exchange(report) }
     }
 }
 
--- a/crates/storage/src/member_answers.rs
+++ b/crates/storage/src/member_answers.rs
@@ -6,7 +6,7 @@
 use sumacdrift_ledger::ReplyKind;
 use tokio::time::Instant;
 
-/// Minimum time between two log lines about undecided requests: while a group is down every call has one.
+/// Minimum time between two log lines about undecided requests: while a group is down, every request is undecided.
 const MIN_LOG_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Last outcome of asking a member.
--- a/crates/storage/src/member_client.rs
+++ b/crates/storage/src/member_client.rs
@@ -120,7 +120,7 @@
         Some(reply)
     }
 
-    /// Sends directly, and after `relay_delay` also through a relay unless the member replied to something
+    /// Sends directly, and after `relay_delay` also through a relay unless the member replied to any request
     /// since. The first reply counts; records are idempotent.
     async fn request_with_fallback(
         &self,
--- a/crates/storage/src/member_order.rs
+++ b/crates/storage/src/member_order.rs
@@ -9,7 +9,7 @@
     rendezvous_order(key.as_bytes(), &members, |member| member.node.as_bytes().to_vec())
 }
 
-/// Members by distance (own zone, own region, others), and in rendezvous order for `key` among equally near
+/// Members by distance (own zone, own region, other regions), and in rendezvous order for `key` among equally near
 /// ones. Requests between regions take tens of milliseconds and their traffic is costly.
 pub(crate) fn nearest_first<'a>(
     location: &Location,
--- a/crates/storage/src/member_selection.rs
+++ b/crates/storage/src/member_selection.rs
@@ -54,7 +54,7 @@
     /// for `key`, so that all nodes of a zone ask the same members for a program.
     pub(crate) fn order(&self, group: &Group, location: &Location, key: &str, now: Instant) -> Vec<Member> {
         let mut order = nearest_first(location, key, &group.members);
-        // The stable sort keeps the order among members of a rank.
+        // The stable sort keeps nearest-first order among suspects and among the other members.
         order.sort_by_key(|member| self.is_suspect(&member.node, now));
         order.into_iter().cloned().collect()
     }
--- a/crates/storage/src/member_watcher.rs
+++ b/crates/storage/src/member_watcher.rs
@@ -20,9 +20,9 @@
 
 /// Status interval of a member: a few checks fit in the minimum time after which a member counts as lost.
 const MEMBER_STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// Status interval of a new machine without a seat.
+/// Status interval of a new machine that belongs to no group.
 const NEW_MACHINE_STATUS_INTERVAL: Duration = Duration::from_millis(250);
-/// Status interval of other machines without a seat.
+/// Status interval of other machines that belong to no group.
 const SPARE_STATUS_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
@@ -80,14 +80,14 @@
         if self.host.replica().is_new() { NEW_MACHINE_STATUS_INTERVAL } else { SPARE_STATUS_INTERVAL }
     }
 
-    /// Asks the other members of the own group, or those of all groups if the node has no seat.
+    /// Asks the other members of the own group, or those of all groups if the node belongs to none.
     async fn request_statuses(&self, map: &GroupMap) {
         let members: Vec<&Member> = match map.group_of_member(&self.own) {
             Some(group) => group.members.iter().filter(|member| member.node != self.own).collect(),
             None => map.members().collect(),
         };
-        let waits_for_seat = map.group_of_member(&self.own).is_none() && self.host.replica().is_new();
-        let request = encode_to_node(RequestKind::Status(!waits_for_seat));
+        let waits_for_membership = map.group_of_member(&self.own).is_none() && self.host.replica().is_new();
+        let request = encode_to_node(RequestKind::Status(!waits_for_membership));
         let requests = members.iter().map(|member| self.request_status(member, &request));
         join_all(requests).await;
         // Applied after the replies, which the members may have sent before they announced their stop.
@@ -129,5 +129,5 @@
     let unresponsive =
         status.silent.into_iter().map(|SilentMember { node, millis }| (node, Duration::from_millis(millis)));
     let unresponsive = status.is_watching.then(|| unresponsive.collect());
-    MemberReport { is_voting: status.is_voting, offers_membership: status.offers_seat, unresponsive }
+    MemberReport { is_voting: status.is_voting, offers_membership: status.offers_membership, unresponsive }
 }
--- a/crates/storage/src/offer_seat.rs
+++ b/crates/storage/src/offer_membership.rs
@@ -1,6 +1,6 @@
-//! Planned stop of a member: its seat goes to a machine that waits for one, and the process stays until that
-//! one votes, so that the group is never short of a voter. If none waits, the other members are told of the
-//! stop and remove this one if it does not come back.
+//! Planned stop of a member: a machine that waits for membership replaces it, and the process keeps running
+//! until the replacement votes, so that the group is never short of a voter. If no machine waits, the stop is
+//! announced to the other members, which remove this one if it does not come back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,28 +22,28 @@
 /// Timeout of a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Offers the node's seat if a machine waits for one, and otherwise tells the other members that this one
-/// stops. Returns when the process may exit.
-pub async fn offer_seat(host: &ReplicaHost, transport: &Arc<Transport>) {
+/// Offers the node's membership if a machine waits for one, and otherwise announces the stop to the other
+/// members. Returns when the process may exit.
+pub async fn offer_membership(host: &ReplicaHost, transport: &Arc<Transport>) {
     if !host.is_voting() {
         return;
     }
-    if !host.is_seat_requested() {
+    if !host.is_membership_requested() {
         return announce_stop(host, transport).await;
     }
     let began = Instant::now();
-    host.offer_own_seat();
-    info!(host.logger(), "seat offered"; "event" => "seat_offered", "epoch" => host.replica().group().epoch);
+    host.offer_membership();
+    info!(host.logger(), "membership offered"; "event" => "seat_offered", "epoch" => host.replica().group().epoch);
     while began.elapsed() < HANDOVER_TIMEOUT && !is_handed_over(host, transport).await {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    info!(host.logger(), "stopped waiting for the seat handover"; "event" => "seat_handed_over",
+    info!(host.logger(), "stopped waiting for the membership handover"; "event" => "seat_handed_over",
         "is_member" => host.replica().is_member(), "waited_ms" => began.elapsed().as_millis() as u64);
 }
 
 /// Announces the stop, so that the other members soon remove this one if it does not come back.
 async fn announce_stop(host: &ReplicaHost, transport: &Transport) {
-    let own = host.node();
+    let own = host.node_name();
     let group = host.replica().group().clone();
     let request = encode(&group, RequestKind::Stopping(own.clone()));
     let others = group.members.iter().filter(|member| member.node != own);
@@ -51,10 +51,10 @@
         .await;
 }
 
-/// Whether another machine has the seat and all members vote.
+/// Whether another machine has replaced this one and all members vote.
 async fn is_handed_over(host: &ReplicaHost, transport: &Transport) -> bool {
     let group = host.replica().group().clone();
-    if group.member(&host.node()).is_some() {
+    if group.member(&host.node_name()).is_some() {
         return false;
     }
     for member in &group.members {
--- a/crates/storage/src/quota_host.rs
+++ b/crates/storage/src/quota_host.rs
@@ -95,7 +95,12 @@
             (Arc::from(tenant), TenantTotal { calls, recent })
         });
         let totals = totals.collect();
-        let report = CallReport { node: report.node, life: report.life, is_warm: report.is_warm, totals };
+        let report = CallReport {
+            node: report.node,
+            incarnation: report.incarnation,
+            is_warm: report.is_warm,
+            totals,
+        };
         let now = self.now();
         self.counters().apply_report(report, now);
     }
@@ -116,7 +121,7 @@
             recent: total.recent,
         });
         let totals = totals.collect();
-        QuotaTotals { node: report.node, life: report.life, is_warm: report.is_warm, totals }
+        QuotaTotals { node: report.node, incarnation: report.incarnation, is_warm: report.is_warm, totals }
     }
 
     /// Whether calls were counted recently.
@@ -151,14 +156,14 @@
 }
 
 impl ReplicaHost {
-    /// The group whose members count tenants' calls with this node; `None` if it has no seat.
+    /// The group whose members count tenants' calls with this node; `None` if it belongs to no group.
     pub(crate) fn counting_group(&self) -> Option<Group> {
         let replica = self.replica();
-        let seat = self.map().group_of_member(replica.node()).map(|group| Group::clone(group));
-        seat.or_else(|| replica.is_member().then(|| replica.group().clone()))
+        let group = self.map().group_of_member(replica.node()).map(|group| Group::clone(group));
+        group.or_else(|| replica.is_member().then(|| replica.group().clone()))
     }
 
-    /// Decides whether a tenant may make one more call; `NotVoting` if this node has no seat.
+    /// Decides whether a tenant may make one more call; `NotVoting` if this node belongs to no group.
     pub(crate) fn answer_quota(&self, question: &QuotaQuestion) -> LedgerReply {
         let kind = match self.counting_group() {
             Some(group) => ReplyKind::Quota(self.quotas().answer(question, &group)),
--- a/crates/storage/src/news_board.rs
+++ b/crates/storage/src/report_board.rs
@@ -1,4 +1,4 @@
-//! Board of a replica host, through which edges exchange news, and the port to the consumer of its views.
+//! Board of a replica host, through which edges exchange reports, and the port to the consumer of its views.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// Maximum number of prompt parts that a board remembers; about a megabyte.
 const MAX_BOARD_PARTS: usize = 8192;
 /// How long after its last use a part counts as cached by an engine. Engines evict unused parts, the sooner
-/// the more they read; a conversation that goes on is back within seconds.
+/// the more they read; a continued conversation uses its parts again within seconds.
 const PART_TTL: Duration = Duration::from_secs(15);
 
 /// Consumer of the views that replica hosts send along with replies.
@@ -32,29 +32,29 @@
 }
 
 /// Board of a replica host.
-pub(crate) struct NewsBoard {
+pub(crate) struct HostReportBoard {
     board: Mutex<ReportBoard>,
     started: Instant,
 }
 
-impl NewsBoard {
+impl HostReportBoard {
     pub(crate) fn new() -> Self {
         let limits = BoardLimits { parts: MAX_BOARD_PARTS, part_ttl: PART_TTL };
         Self { board: Mutex::new(ReportBoard::new(limits)), started: Instant::now() }
     }
 
-    /// Records the news of a node; returns the encoded view for it, empty if it sent no readable news.
-    pub(crate) fn exchange(&self, news: Bytes) -> Bytes {
-        if news.is_empty() {
+    /// Records the encoded report of a node; returns the encoded view for it, empty if there is no valid report.
+    pub(crate) fn exchange(&self, report: Bytes) -> Bytes {
+        if report.is_empty() {
             return Bytes::new();
         }
-        // Malformed news are dropped; the request that carried them is answered all the same.
-        let Ok(news) = NodeReport::decode(news) else { return Bytes::new() };
-        let view = self.board().exchange(news, self.now());
+        // A malformed report is dropped; the request that carried it is answered nevertheless.
+        let Ok(report) = NodeReport::decode(report) else { return Bytes::new() };
+        let view = self.board().exchange(report, self.now());
         Bytes::from(view.encode_to_vec())
     }
 
-    /// News of the edges of this board, for other boards.
+    /// Report of the edges of this board, for other boards.
     pub(crate) fn for_boards(&self, node: &str) -> Option<BoardReport> {
         self.board().report_for_boards(node, self.now())
     }
--- a/crates/storage/src/routes.rs
+++ b/crates/storage/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes to members: direct, through a relay, or direct only.
 //!
 //! Routes are learned from the requests themselves. A member that misses one request while it replies to
-//! others is slow; one that replies to none may be partitioned from this node alone.
+//! others is slow; one that replies to none may be partitioned from this node only.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
     relays: Vec<SocketAddr>,
     /// Index of the relay in use, modulo their number.
     relay_index: usize,
-    /// Whether any node ever replied. Until then all nodes may be starting together, and waiting is right.
+    /// Whether any node ever replied. Until then all nodes may be starting together, so requests wait.
     has_had_reply: bool,
     /// Since when requests are sent and none was replied to.
     silent_since: Option<Instant>,
@@ -87,14 +87,14 @@
     }
 
     /// Whether neither members nor relays reply to this node. If relays reply that the members do not, the
-    /// node is not isolated: the ledger is paused for everyone, and callers wait.
+    /// node is not isolated: the ledger is paused for all nodes, and callers wait.
     pub(crate) fn is_isolated(&self, now: Instant) -> bool {
         let silent = self.silent_since.is_some_and(|since| now.duration_since(since) >= ISOLATED_AFTER);
         self.has_had_reply && silent
     }
 
     pub(crate) fn set_relays(&mut self, mut relays: Vec<SocketAddr>) {
-        // A partition may leave an empty list; then the relays known before are the best guess.
+        // The list may be empty because of a partition; the relays known before may still work.
         if !relays.is_empty() {
             relays.truncate(MAX_RELAYS);
             self.relays = relays;
--- a/crates/storage/src/rpc.rs
+++ b/crates/storage/src/rpc.rs
@@ -14,18 +14,18 @@
 
 /// Encodes a request to a group, once for all its members.
 pub(crate) fn encode(group: &Group, kind: RequestKind) -> Bytes {
-    encode_with_news(group, kind, Bytes::new())
+    encode_with_report(group, kind, Bytes::new())
 }
 
-/// Encodes a request with news for the board of the replica's host.
-pub(crate) fn encode_with_news(group: &Group, kind: RequestKind, news: Bytes) -> Bytes {
-    let request = LedgerRequest { epoch: group.epoch, kind: Some(kind), group: group.number, news };
+/// Encodes a request with an encoded report for the board of the replica's host.
+pub(crate) fn encode_with_report(group: &Group, kind: RequestKind, report: Bytes) -> Bytes {
+    let request = LedgerRequest { epoch: group.epoch, kind: Some(kind), group: group.number, report };
     Bytes::from(request.encode_to_vec())
 }
 
-/// Encodes news for the board of a node, without a request to its replica.
-pub(crate) fn encode_news(news: Bytes) -> Bytes {
-    encode_with_news(&Group::default(), RequestKind::News(true), news)
+/// Encodes a message that carries only a report for the board of a node, and no request to its replica.
+pub(crate) fn encode_report(report: Bytes) -> Bytes {
+    encode_with_report(&Group::default(), RequestKind::News(true), report)
 }
 
 /// Encodes a request to a node, whatever its group.
--- a/crates/storage/src/zone_boards.rs
+++ b/crates/storage/src/zone_boards.rs
@@ -1,7 +1,7 @@
 //! Selects the board that the edges of a zone report their calls to, and exchanges sums between boards.
 //!
-//! A ledger of one group has few members, and the news of every edge reach each of them with its requests.
-//! With many groups each member would hear from each edge too seldom: there all edges of a zone use one board
+//! In a ledger of one group, each edge sends its reports along with its requests, which soon reach every
+//! member. With many groups, a member would receive reports of an edge too seldom: there all edges of a zone use one board
 //! in it, and the boards of the zones exchange sums.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 
 use crate::host::ReplicaHost;
 use crate::member_order::nearest_first;
-use crate::rpc::{encode_news, send_request};
+use crate::rpc::{encode_report, send_request};
 
 /// Interval of reports between boards. Older data about engines is of little use, and the traffic crosses
 /// zones.
@@ -51,12 +51,12 @@
         if !uses_zone_boards(&map) {
             continue;
         }
-        let Some(report) = host.board_news(&node) else { continue };
+        let Some(report) = host.board_report(&node) else { continue };
         let mut others = primary_boards(&map);
         let reporting_boards = map.members().filter(|member| report.reporting_boards.contains(&member.node));
         others.extend(reporting_boards.map(|member| (member.node.as_str(), member)));
         others.remove(node.as_str());
-        let request = encode_news(report.report.encode_to_vec().into());
+        let request = encode_report(report.report.encode_to_vec().into());
         for other in others.into_values() {
             let (transport, request, address) = (Arc::clone(&transport), request.clone(), other.address);
             // A board that does not reply gets the next report soon.
--- a/crates/storage/tests/cluster/directory.rs
+++ b/crates/storage/tests/cluster/directory.rs
@@ -75,8 +75,8 @@
     fn report_retirement(&self, node: String, is_completed: bool) -> DirectoryFuture<'_, ()> {
         self.view.send_if_modified(|view| {
             let mut asked = view.retirements.iter_mut().filter(|retirement| retirement.node == node);
-            let news = asked.find(|retirement| retirement.is_completed != is_completed);
-            news.is_some_and(|retirement| {
+            let changed = asked.find(|retirement| retirement.is_completed != is_completed);
+            changed.is_some_and(|retirement| {
                 (retirement.is_completed, retirement.revision) = (is_completed, retirement.revision + 1);
                 true
             })
--- a/crates/storage/tests/cluster/mod.rs
+++ b/crates/storage/tests/cluster/mod.rs
@@ -25,7 +25,7 @@
 use sumacdrift_proto::{OneWay, Request, Response};
 use sumacdrift_storage::{
     BeginTurn, GroupDirectory, GroupMaintenance, GroupMaintenanceSettings, HostSettings, LedgerClient,
-    LedgerError, LedgerTimeouts, PeerFeeds, ReplicaHost, Retirement, StoreFollowers, offer_seat,
+    LedgerError, LedgerTimeouts, PeerFeeds, ReplicaHost, Retirement, StoreFollowers, offer_membership,
 };
 use sumacdrift_transport::{Handler, MemoryNetwork, Network, TrafficCounters, Transport, serve};
 use sumacdrift_types::{Location, Topology};
@@ -97,7 +97,7 @@
 }
 
 impl StorageCluster {
-    /// Starts `count` machines, one per zone, and waits until they have founded the first group.
+    /// Starts `count` machines, one per zone, and waits until they have bootstrapped the first group.
     pub async fn found(cluster_settings: ClusterSettings, count: usize) -> Self {
         let mut cluster = Self {
             cluster_settings,
@@ -172,7 +172,7 @@
             own,
             capacity: Capacity::default(),
             policy: GroupPolicy::tolerating(cluster_settings.tolerated_losses),
-            places: Arc::new(Topology::default()),
+            topology: Arc::new(Topology::default()),
             catch_up_time: cluster_settings.catch_up_time,
         };
         let directory: Arc<dyn GroupDirectory> = Arc::new(directory);
@@ -202,7 +202,7 @@
     /// Stops the process of a machine as planned.
     pub async fn stop(&mut self, name: &str) {
         if let Some(process) = self.cluster.get(name).and_then(|machine| machine.process.as_ref()) {
-            offer_seat(&process.host, &process.transport).await;
+            offer_membership(&process.host, &process.transport).await;
         }
         self.lose_power(name).await;
     }
@@ -296,7 +296,7 @@
             budget_tokens: BUDGET_TOKENS,
             needs_chain: !previous.is_empty(),
             previous: previous.clone(),
-            news: Bytes::new(),
+            report: Bytes::new(),
         };
         let admission = client.begin(begin, Instant::now() + Duration::from_secs(1)).await?;
         let expected: String = self.retained_turns.iter().map(|turn| format!("[{turn}]")).collect();
--- a/crates/storage/tests/configuration_age.rs
+++ b/crates/storage/tests/configuration_age.rs
@@ -67,7 +67,7 @@
         node.feed.record_store_failure(ItemKind::Engine);
     }
     advance(Duration::from_secs(6)).await;
-    // Engines are not listed yet.
+    // Only the configuration is confirmed; the engine list is still unavailable.
     let read = Instant::now();
     confirm_configuration_at(&fleet, 2, read);
     advance(Duration::from_millis(650)).await;
--- a/crates/storage/tests/feed_peers.rs
+++ b/crates/storage/tests/feed_peers.rs
@@ -1,4 +1,5 @@
-//! Feeds that merge each other: a node whose watch of the store is silent still learns what others hear.
+//! Feeds that merge each other: a node whose watch of the store is silent still receives the changes from
+//! other nodes.
 
 mod fleet;
 
@@ -31,7 +32,7 @@
     }
     let edge = follow(&fleet, 1);
     advance(MAX_DELAY).await;
-    // From now on the store neither answers nor refuses the watch of node 1.
+    // The store no longer answers the watch of node 1, and does not reject it.
     for version in 2..30 {
         for position in [0, 2] {
             fleet.nodes[position].feed.put(configuration(&format!("version {version}"), version));
@@ -116,7 +117,7 @@
     assert_eq!(stand_in.time_without_current_peer(), Duration::ZERO, "the time starts at the first call");
     advance(Duration::from_secs(2)).await;
     assert!(stand_in.time_without_current_peer() >= Duration::from_secs(2));
-    // Hearing the store itself does not end the stand-in, which would make it flap.
+    // Own contact to the store does not reset the time: the node would start and stop following repeatedly.
     list_store(stand_in, "heard alone", 2);
     assert!(stand_in.time_without_current_peer() >= Duration::from_secs(2));
     list_store(&fleet.nodes[1].feed, "heard alone", 2);
--- a/crates/storage/tests/fleet/mod.rs
+++ b/crates/storage/tests/fleet/mod.rs
@@ -175,7 +175,7 @@
             members.collect::<Vec<_>>()
         };
         let initial =
-            (0..groups).zip(0..).map(|(place, number)| Group::initial_numbered(number, members(place)));
+            (0..groups).zip(0..).map(|(index, number)| Group::initial_numbered(number, members(index)));
         let map = GroupMap::new(initial.collect());
         let network = MemoryNetwork::new();
         let mut nodes = Vec::new();
@@ -183,7 +183,7 @@
             let settings = ReplicaSettings { node: member.node.clone(), is_first_start: true };
             let mut replica = Replica::new(settings);
             replica.finish_replay();
-            let group = map.group_of_member(&member.node).expect("a seat");
+            let group = map.group_of_member(&member.node).expect("a member of a group");
             replica.install(Group::clone(group));
             let node = Arc::new(Node {
                 replica: Mutex::new(replica),
@@ -273,7 +273,7 @@
         budget_tokens: 10_000,
         needs_chain: !previous.is_empty(),
         previous: previous.to_owned(),
-        news: Bytes::new(),
+        report: Bytes::new(),
     }
 }
 
--- a/crates/storage/tests/follower.rs
+++ b/crates/storage/tests/follower.rs
@@ -121,8 +121,8 @@
     assert!(sink.has("fourth"));
 }
 
-/// When all nodes start at once, members are late because they serve snapshots to all: a node that knows
-/// nothing must not add relayed requests.
+/// When all nodes start at once, members are late because they serve snapshots to all: a node without
+/// data must not add relayed requests.
 #[tokio::test(start_paused = true)]
 async fn an_empty_follower_does_not_use_a_relay() {
     let fleet = Fleet::start(3).await;
--- a/crates/storage/tests/groups.rs
+++ b/crates/storage/tests/groups.rs
@@ -15,7 +15,7 @@
 
 /// Name of a program that belongs to a group.
 fn program_of(fleet: &Fleet, number: u32) -> String {
-    let mut names = (0..).map(|place| format!("program-{place}"));
+    let mut names = (0..).map(|index| format!("program-{index}"));
     names
         .find(|name| fleet.map.group_of(name).is_some_and(|group| group.number == number))
         .expect("a program")
--- a/crates/storage/tests/journal_capacity.rs
+++ b/crates/storage/tests/journal_capacity.rs
@@ -29,11 +29,11 @@
 #[tokio::test(start_paused = true)]
 async fn repeated_restarts_do_not_exhaust_the_journal() {
     let disk = MemoryDisk::default();
-    for life in 0..12 {
+    for restart in 0..12 {
         let host = open_host(disk.clone(), "m0", CAPACITY_BYTES).await;
         for number in 0..5 {
-            let reply = end_turn(&host, &format!("t{life}-{number}")).await;
-            assert!(!matches!(reply, Some(ReplyKind::Failed(_))), "life {life}: {reply:?}");
+            let reply = end_turn(&host, &format!("t{restart}-{number}")).await;
+            assert!(!matches!(reply, Some(ReplyKind::Failed(_))), "restart {restart}: {reply:?}");
         }
         host.expire_and_snapshot().await;
     }
--- a/crates/storage/tests/overload.rs
+++ b/crates/storage/tests/overload.rs
@@ -162,7 +162,7 @@
     };
     assert!(share(0..5) >= 0.99, "{served:?} of {asked:?}");
     assert!(share(35..40) >= share(0..5), "{served:?} of {asked:?}");
-    // Two thirds of the programs belong to responsive groups, and lose nothing.
+    // Two thirds of the programs belong to responsive groups and are unaffected.
     assert!(share(12..18) >= 0.6, "{served:?} of {asked:?}");
     assert!(share(22..25) >= 0.95, "{served:?} of {asked:?}");
 }
--- a/crates/storage/tests/planned_replacement.rs
+++ b/crates/storage/tests/planned_replacement.rs
@@ -1,8 +1,8 @@
-//! A new machine waits for a seat, the member that it replaces is stopped as planned and removed, and right
+//! A new machine waits for membership, the member that it replaces is stopped as planned and removed, and right
 //! after that all machines lose power and the tolerated number of others lose their disks.
 //!
 //! Guards against a stop that leaves the group one voter short until the stopped member counts as lost: it
-//! offers its seat and stays until the new machine votes.
+//! offers its membership and keeps running until the new machine votes.
 
 mod cluster;
 
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn a_stopped_member_of_five_hands_its_seat_over() {
+fn a_stopped_member_of_five_hands_its_membership_over() {
     assert_recovery_from_every_moment(5, 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_stops_at_once_if_no_machine_waits_for_its_seat() {
+async fn a_member_stops_at_once_if_no_machine_waits_for_membership() {
     let settings = ClusterSettings {
         tolerated_losses: 1,
         catch_up_time: COMPLETE_WITHIN,
--- a/crates/storage/tests/relay.rs
+++ b/crates/storage/tests/relay.rs
@@ -65,7 +65,7 @@
     assert_eq!(admission.counted_tokens, 60);
     assert_eq!(admission.chain.into_prompt(b"new"), "in t1out t1new".as_bytes());
     relayed.end(end("t2", "t1"), Bytes::new()).await.expect("an end");
-    // 120 of 250 tokens are spent: a third turn fits, a fourth beside it does not.
+    // 120 of 250 tokens are spent: a third turn fits, a concurrent fourth does not.
     ask(&direct, begin("t3", "t2")).await.0.expect("an admission");
     assert_eq!(ask(&relayed, begin("t4", "t2")).await.0.expect_err("too much"), LedgerError::BudgetSpent);
     let unknown = ask(&relayed, begin("t5", "never")).await.0.expect_err("no such turn");
@@ -103,7 +103,7 @@
     assert!(taken < Duration::from_millis(100), "{taken:?}");
 }
 
-/// Members that are down for everyone are not asked for through relays again and again.
+/// Members that no node reaches are not requested through relays repeatedly.
 #[tokio::test(start_paused = true)]
 async fn a_turn_fails_if_no_majority_is_reachable_over_any_route() {
     let fleet = Fleet::start(3).await;
@@ -134,7 +134,7 @@
     assert!(matches!(plain, Ok(Response::Failed(_))), "{plain:?}");
 }
 
-/// An isolated node fails its turns early, so that another node can take them.
+/// An isolated node fails its turns early, so that the caller can retry at another node.
 #[tokio::test(start_paused = true)]
 async fn an_isolated_node_fails_turns_early() {
     let fleet = Fleet::start(3).await;
@@ -172,7 +172,7 @@
     (client, outcome, taken)
 }
 
-/// Relays reply, so the ledger is paused for everyone: a pause shorter than a round is waited for.
+/// Relays reply, so the ledger is paused for all nodes, and callers wait out a pause shorter than a round.
 #[tokio::test(start_paused = true)]
 async fn a_turn_waits_for_the_end_of_a_short_pause() {
     let pause = Duration::from_millis(600);
@@ -181,7 +181,7 @@
     assert!(taken >= pause, "{taken:?}");
 }
 
-/// After a longer pause callers are told to retry, and are admitted then.
+/// In a longer pause callers get an error, and are admitted when they retry after it.
 #[tokio::test(start_paused = true)]
 async fn a_turn_fails_during_a_long_pause_and_succeeds_after_it() {
     let (client, outcome, taken) = begin_during_pause(Duration::from_millis(1_200)).await;
--- a/crates/storage/tests/removed_member.rs
+++ b/crates/storage/tests/removed_member.rs
@@ -12,7 +12,7 @@
     reply_latency: Duration::from_millis(20),
 };
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
-/// Longer than any departed member is waited for.
+/// Longer than the time after which a departed member is removed.
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(14);
 
 /// A group of three in which a new machine has replaced a drained one, so that the next departure has no
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restarted_member_keeps_its_seat() {
+async fn a_restarted_member_keeps_its_membership() {
     let mut cluster = StorageCluster::found(SETTINGS, 3).await;
     let before = cluster.map();
     for position in 0..3 {
--- a/crates/storage/tests/replaced_in_small_group.rs
+++ b/crates/storage/tests/replaced_in_small_group.rs
@@ -1,7 +1,7 @@
-//! After a drain a group has two members; one departs, an empty machine comes, and later all machines lose
+//! After a drain a group has two members; one departs, an empty machine is added, and later all machines lose
 //! power and one of the remaining members its disk.
 //!
-//! Guards against a new machine that joins beside the departed member instead of replacing it: the group
+//! Guards against a new machine that joins in addition to the departed member instead of replacing it: the group
 //! would keep one departed and one empty member, and never recover.
 
 mod cluster;
--- a/crates/storage/tests/replaced_member.rs
+++ b/crates/storage/tests/replaced_member.rs
@@ -1,7 +1,7 @@
 //! A machine departs, an empty one replaces it, and after the allowed four seconds all machines lose power
 //! and the tolerated number of others lose their disks.
 //!
-//! Guards against a replacement that takes its seat or votes too late: the wiped member and the incomplete
+//! Guards against a replacement that joins or votes too late: the wiped member and the incomplete
 //! new one would then wait forever to read each other, and no request would be served again.
 
 mod cluster;
@@ -15,7 +15,7 @@
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 const WARM_UP: Duration = Duration::from_millis(1000);
 const OUTAGE_DURATION: Duration = Duration::from_millis(500);
-/// The outage is tried at every fine step up to here, and at coarser ones up to the end.
+/// Outage times up to here are tested in fine steps, later ones in coarse steps.
 const FINE_STEP_LIMIT: Duration = Duration::from_millis(7_500);
 const FINE_STEP: Duration = Duration::from_millis(10);
 const MAX_OUTAGE_DELAY: Duration = Duration::from_secs(15);
--- a/crates/storage/tests/request_fan_out.rs
+++ b/crates/storage/tests/request_fan_out.rs
@@ -58,7 +58,7 @@
     fleet.nodes[2].set_silent(true);
     let (outcome, taken) = ask(&client, begin("t1", "")).await;
     assert_eq!(outcome.expect_err("no majority"), LedgerError::Unavailable);
-    // Not earlier either: a pause of the ledger of that length must cost its callers nothing.
+    // Not earlier either: a shorter pause of the ledger must not fail its callers.
     assert!(taken >= Duration::from_millis(900) && taken <= Duration::from_millis(1_050), "{taken:?}");
 }
 
--- a/crates/storage/tests/stopped_in_small_group.rs
+++ b/crates/storage/tests/stopped_in_small_group.rs
@@ -2,7 +2,7 @@
 //! and removed without a replacement.
 //!
 //! Guards against a group that keeps the stopped member: after an outage in which the new machine loses its
-//! disk it would never recover. The remaining members must read each other and go on as a group of two.
+//! disk it would never recover. The remaining members must read each other and continue as a group of two.
 
 mod cluster;
 
