--- a/crates/calls/src/head.rs
+++ b/crates/calls/src/head.rs
@@ -89,7 +89,7 @@
 pub struct TokenUsage {
     pub prompt: u64,
     /// Maximum number of generated tokens.
-    pub most_output: u64,
+    pub max_output: u64,
 }
 
 /// The program that a call belongs to.
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,7 +1,7 @@
 //! Protocol-independent calls and the state machine that decides on retries.
 //!
 //! Each front end (OpenAI chat, plain HTTP) maps a request to a [`CallMetadata`]. [`CallMachine`] alone decides
-//! whether a call may be retried, how many engines may run it and what its caller is told. It does no I/O and
+//! whether a call may be retried, how many engines may run it and which response its caller gets. It does no I/O and
 //! reads no clock: the driver reports events and carries out the returned [`Next`] step.
 
 mod events;
--- a/crates/calls/src/machine.rs
+++ b/crates/calls/src/machine.rs
@@ -8,7 +8,7 @@
 use crate::head::EngineId;
 use crate::rules::CallRules;
 
-/// Engines that may reject a call before its caller is told to retry later.
+/// Engines that may reject a call before it is rejected with a retry delay.
 const MAX_REJECTIONS: usize = 3;
 /// Attempts that may end before the request is sent, such as failed connections.
 const MAX_UNSENT_ATTEMPTS: usize = 4;
@@ -64,13 +64,13 @@
         /// The only engine that may be chosen, if set.
         only: Option<EngineId>,
     },
-    /// Tell the caller that the call has not run.
+    /// Respond that the call has not run.
     Refuse {
         code: ResultCode,
         /// Delay after which the caller may retry.
         retry_after: Duration,
     },
-    /// Tell the caller that the call failed and may have run.
+    /// Respond that the call failed and may have run.
     Fail { code: ResultCode },
     /// Abort the answer, part of which has been sent.
     BreakOff { code: ResultCode },
@@ -139,12 +139,12 @@
     }
 
     /// Number of engines that may have run the call.
-    pub fn runs(&self) -> usize {
+    pub fn possible_runs(&self) -> usize {
         self.may_have_run.len()
     }
 
     /// Number of attempts that were rejected or could not be sent.
-    pub fn misses(&self) -> usize {
+    pub fn attempts_not_run(&self) -> usize {
         self.rejections + self.unsent_attempts
     }
 
--- a/crates/edge/src/access.rs
+++ b/crates/edge/src/access.rs
@@ -13,14 +13,14 @@
 use crate::wire_format::WireFormat;
 
 /// Retry delay if the configuration is too old to check keys, with a jitter of ±25 % so that callers don't retry
-/// all at once. The store has usually been unreachable for seconds and stays so for about as long again, which few
-/// retries outlast only with long delays.
+/// all at once. By then the store has usually been unreachable for seconds and will be for about as long again; with
+/// short delays, callers would use up their few retries before it returns.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(800);
 /// Retry delay if no node that counts quotas responded.
 const QUOTA_UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// A call waits for a fresh enough configuration for at most this fraction (as a divisor) of its time and at most
-/// [`MAX_ADMISSION_WAIT`]. The rest is enough to run the call or to retry elsewhere.
+/// A call waits for a recent enough configuration for at most the time to its deadline divided by this, and for at most
+/// [`MAX_ADMISSION_WAIT`]. The remaining time is left to run the call or to retry elsewhere.
 const ADMISSION_WAIT_DIVISOR: u32 = 3;
 const MAX_ADMISSION_WAIT: Duration = Duration::from_millis(1000);
 
@@ -107,7 +107,7 @@
     ) -> Result<Option<Arc<Tenant>>, AccessRefusal> {
         let AccessDecision { outcome, version, age, .. } = decision;
         if let Err(refusal) = &outcome {
-            self.metrics.record_given_up(refusal.code());
+            self.metrics.record_unsuccessful_call(refusal.code());
             info!(self.logger, "caller denied"; "event" => "access_refused", "call" => call,
                 "code" => refusal.code().number(), "reason" => %refusal, "has_key" => has_key,
                 "version" => version, "age_ms" => age.map(millis), "waited_ms" => millis(waited),
@@ -146,7 +146,7 @@
                 None,
             ),
         };
-        self.metrics.record_given_up(denied.code);
+        self.metrics.record_unsuccessful_call(denied.code);
         info!(self.logger, "call rejected by its tenant's quota"; "event" => "quota_refused", "call" => &head.id,
             "tenant" => &*tenant.name, "code" => denied.code.number(), "counted" => counted,
             "most" => limit.max_calls(), "version" => version, "waited_ms" => millis(waited),
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -87,7 +87,7 @@
     }
 
     /// Tie-breaker among equal engines: calls of the same program, or with the same affinity on a sticky route,
-    /// prefer the same engine; others are spread randomly.
+    /// prefer the same engine; other calls are spread randomly.
     fn placement_key(&self) -> u64 {
         let is_stream = self.selected.route.rules.kind.is_stream();
         let program = self.head.program.as_ref().filter(|_| is_stream);
@@ -106,7 +106,7 @@
     pub(crate) run: EngineRun<D>,
 }
 
-/// Attempts engines until one responds or the call must be given up.
+/// Attempts engines until one responds or the call fails.
 pub(crate) async fn attempt_until_response<D: WireFormat>(
     call: &CallContext<D>,
     machine: &mut CallMachine,
--- a/crates/edge/src/buffered.rs
+++ b/crates/edge/src/buffered.rs
@@ -15,14 +15,14 @@
 /// Largest response that is buffered.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Runs a call until it has a response to forward or is given up.
+/// Runs a call until it has a response to forward or fails.
 pub(crate) async fn run_buffered<D: WireFormat>(
     call: &CallContext<D>,
     machine: &mut CallMachine,
 ) -> Result<Response<EdgeBody>, Next> {
     let _in_flight = GaugeGuard::increment(&call.edge.metrics.in_flight);
     let mut next = machine.begin(call.edge.clock.now());
-    // A server error of an engine, forwarded if no other engine does better.
+    // A server error of an engine, forwarded if no other engine's response is better.
     let mut failed: Option<BufferedResponse> = None;
     loop {
         let received = match attempt_until_response(call, machine, next).await {
@@ -87,7 +87,7 @@
     match buffering {
         Ok(Ok(bytes)) => {
             if received.head.status.is_success() {
-                received.run.finish_whole(call.typical_time());
+                received.run.finish_buffered(call.typical_time());
             } else {
                 received.run.finish_failed(received.head.status);
             }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -182,7 +182,7 @@
         "budget" => program.and_then(|program| program.token_budget), "previous" => &head.previous,
         "epoch" => program.map(|program| edge.ledger.epoch_of(&program.program)));
     let code = result_code(error);
-    edge.metrics.record_given_up(code);
+    edge.metrics.record_unsuccessful_call(code);
     match error {
         LedgerError::GroupUnavailable { retry_after } => rejection_with_retry_after(edge, code, retry_after),
         _ => rejection(edge, code),
@@ -230,7 +230,7 @@
         Next::Fail { code } | Next::BreakOff { code } => ("failed", *code, Ran::Unknown, None),
         Next::Try { .. } => ("failed", ResultCode::Internal, Ran::Unknown, None),
     };
-    call.report_given_up(machine, what, code);
+    call.report_unsuccessful_call(machine, what, code);
     let status = match ran {
         Ran::No if code != ResultCode::Unauthenticated => {
             call.edge.wire_format.status(ResultCode::Overloaded)
@@ -247,7 +247,7 @@
 }
 
 fn reject<D: WireFormat>(edge: &Edge<D>, head: &CallMetadata, code: ResultCode) -> Response<EdgeBody> {
-    edge.metrics.record_given_up(code);
+    edge.metrics.record_unsuccessful_call(code);
     info!(edge.logger, "call rejected"; "event" => "refused", "call" => &head.id, "code" => code.number(),
         "title" => code.title());
     rejection(edge, code)
@@ -257,7 +257,7 @@
     rejection_with_retry_after(edge, code, DEFAULT_RETRY_AFTER)
 }
 
-/// A rejection of a call that has not run; a 503 tells when to retry.
+/// A rejection of a call that has not run. Only responses with status 503 have a retry delay.
 fn rejection_with_retry_after<D: WireFormat>(
     edge: &Edge<D>,
     code: ResultCode,
--- a/crates/edge/src/cold_permit.rs
+++ b/crates/edge/src/cold_permit.rs
@@ -24,7 +24,7 @@
 /// Back-off if no counting node responded.
 const UNAVAILABLE_BACKOFF: Duration = Duration::from_millis(200);
 /// Longest wait of a call for a permit if only cold engines are eligible. It exceeds most waits for the next
-/// permit; for longer ones the caller is better told to retry.
+/// permit; calls that would wait longer are rejected with a retry delay.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(400);
 /// Prefix of an engine's name among the counted names. Tenants' names contain no control characters.
 const COLD_ENGINE_PREFIX: &str = "cold\u{1f}";
@@ -32,22 +32,22 @@
 /// Tolerated excess over the configured call rate of cold engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdTolerance {
-    /// Factor on the rate, in calls per second, that a service's cold engines take.
-    pub times: f64,
-    /// Additional calls within the window.
-    pub calls: f64,
+    /// Factor on the configured rate of a service's cold engines.
+    pub rate_factor: f64,
+    /// Calls allowed within the window in addition.
+    pub extra_calls: f64,
 }
 
 impl Default for ColdTolerance {
     fn default() -> Self {
-        Self { times: 1.0, calls: 0.0 }
+        Self { rate_factor: 1.0, extra_calls: 0.0 }
     }
 }
 
 impl ColdTolerance {
     /// The limit for all nodes together, chosen so that no window exceeds the tolerated rate.
     pub fn limit(self, cold: ColdLimit) -> QuotaLimit {
-        let bound = cold.calls_per_second * self.times + self.calls;
+        let bound = cold.calls_per_second * self.rate_factor + self.extra_calls;
         QuotaLimit::within_bound(cold.calls_per_second, bound, PERMIT_WINDOW, PERMIT_VALIDITY)
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -50,7 +50,7 @@
     pub location: Location,
     /// Relative cost of traffic to other zones and regions.
     pub prices: TrafficPrices,
-    /// Address at which the node relays ledger requests for others; `None` if it does not.
+    /// Address at which the node relays ledger requests for other nodes; `None` if it does not.
     pub relay: Option<SocketAddr>,
     /// Maximum age of the configuration for decisions about API keys.
     pub configuration_age_limits: ConfigurationAgeLimits,
@@ -191,19 +191,19 @@
 
     /// Adds or updates an engine.
     pub fn upsert_engine(&self, spec: EngineSpec) {
-        let (id, is_leaving, report) = (spec.id.clone(), spec.is_leaving, spec.report);
+        let (id, is_draining, report) = (spec.id.clone(), spec.is_draining, spec.report);
         match self.engines().upsert(spec, self.clock.now()) {
             EntryChange::Unchanged => {}
             EntryChange::Changed => {
                 info!(self.logger, "engine changed"; "event" => "engine_changed", "engine" => %id,
-                    "leaving" => is_leaving);
+                    "leaving" => is_draining);
             }
             EntryChange::Restarted => {
                 info!(self.logger, "engine restarted"; "event" => "engine_started_again", "engine" => %id,
-                    "start_unix_ms" => id.start().unix_millis, "report" => report, "leaving" => is_leaving);
+                    "start_unix_ms" => id.start().unix_millis, "report" => report, "leaving" => is_draining);
             }
-            EntryChange::EarlierIncarnationLeaving => {
-                info!(self.logger, "engine's earlier incarnation is leaving";
+            EntryChange::EarlierIncarnationDraining => {
+                info!(self.logger, "engine's earlier incarnation is draining";
                     "event" => "earlier_life_leaves", "engine" => %id,
                     "start_unix_ms" => id.start().unix_millis, "report" => report);
             }
--- a/crates/edge/src/engine_run.rs
+++ b/crates/edge/src/engine_run.rs
@@ -25,8 +25,8 @@
     pub(crate) engine: EngineId,
     placement: Placement,
     sent: Timestamp,
-    /// Prompt tokens that still count as unread in the engine's load.
-    unread_tokens: u64,
+    /// Prompt tokens of the call that still wait for prefill in the engine's load.
+    pending_prefill_tokens: u64,
     event_times: Option<EventTimes>,
     connection: Option<ActiveConnection>,
     /// Connect and round-trip time, which is not part of the engine's own time.
@@ -44,7 +44,7 @@
             engine: placement.engine.clone(),
             placement: placement.clone(),
             sent,
-            unread_tokens: placement.unread_tokens,
+            pending_prefill_tokens: placement.unread_tokens,
             event_times: None,
             connection: None,
             network_time: Duration::ZERO,
@@ -67,11 +67,11 @@
         &self.placement
     }
 
-    /// Records events of a stream. With the first ones the prompt counts as read.
+    /// Records events of a stream. The first ones show that the prefill is complete.
     pub(crate) fn record_events(&mut self, events: usize) {
         let now = self.edge.clock.now();
         if self.event_times.is_none() {
-            self.clear_unread();
+            self.record_prefill_end();
         }
         let event_times = self.event_times.get_or_insert(EventTimes { first: now, last: now, events: 0 });
         event_times.last = now;
@@ -95,7 +95,7 @@
 
     /// Ends the run after a complete response, and records the engine's speed relative to `typical`, the route's
     /// average duration.
-    pub(crate) fn finish_whole(self, typical: Option<Duration>) {
+    pub(crate) fn finish_buffered(self, typical: Option<Duration>) {
         let now = self.edge.clock.now();
         if let Some(typical) = typical.filter(|typical| !typical.is_zero()) {
             let elapsed = now.since(self.sent).saturating_sub(self.network_time);
@@ -126,15 +126,15 @@
         }
     }
 
-    fn clear_unread(&mut self) {
-        let unread_tokens = std::mem::take(&mut self.unread_tokens);
-        self.edge.engines().record_prefilled(&self.engine, unread_tokens);
+    fn record_prefill_end(&mut self) {
+        let prefilled_tokens = std::mem::take(&mut self.pending_prefill_tokens);
+        self.edge.engines().record_prefilled(&self.engine, prefilled_tokens);
     }
 }
 
 impl<D: WireFormat> Drop for EngineRun<D> {
     fn drop(&mut self) {
-        self.clear_unread();
+        self.record_prefill_end();
         self.edge.record_outcome(&self.engine, self.outcome);
     }
 }
--- a/crates/edge/src/headers.rs
+++ b/crates/edge/src/headers.rs
@@ -6,8 +6,8 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers that are always removed, besides those listed in `Connection`.
-const HOP_BY_HOP: [HeaderName; 9] = [
+/// Headers that are always removed, in addition to `Keep-Alive` and those listed in `Connection`.
+const REMOVED_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -20,7 +20,8 @@
 ];
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Copies the headers without the hop-by-hop ones. The HTTP library sets the body length again.
+/// Copies the headers without the hop-by-hop ones, `Content-Length` and `Expect`. The HTTP library sets the body
+/// length again.
 pub fn without_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
     for value in headers.get_all(CONNECTION) {
@@ -29,7 +30,7 @@
             forwarded.remove(name);
         }
     }
-    for name in &HOP_BY_HOP {
+    for name in &REMOVED_HEADERS {
         forwarded.remove(name);
     }
     forwarded.remove(KEEP_ALIVE);
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -44,7 +44,7 @@
     pub(crate) buffered_seconds: Histogram,
     pub(crate) wait_seconds: Histogram,
     pub(crate) queued: Gauge,
-    given_up: Family<CodeLabel, Counter>,
+    unsuccessful_calls: Family<CodeLabel, Counter>,
     queue_rejections: Family<ReasonLabel, Counter>,
 }
 
@@ -73,7 +73,7 @@
             buffered_seconds: time_histogram(),
             wait_seconds: time_histogram(),
             queued: Gauge::default(),
-            given_up: Family::default(),
+            unsuccessful_calls: Family::default(),
             queue_rejections: Family::default(),
         }
     }
@@ -138,7 +138,7 @@
         registry.register(
             "given_up",
             "Calls refused, failed or broken off, by result code",
-            self.given_up.clone(),
+            self.unsuccessful_calls.clone(),
         );
     }
 
@@ -156,12 +156,12 @@
         self.queue_rejections.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
-    pub(crate) fn record_given_up(&self, code: ResultCode) {
-        self.given_up.get_or_create(&CodeLabel { code: code.number() }).inc();
+    pub(crate) fn record_unsuccessful_call(&self, code: ResultCode) {
+        self.unsuccessful_calls.get_or_create(&CodeLabel { code: code.number() }).inc();
     }
 }
 
-/// Increments a gauge until it is dropped.
+/// Increments a gauge when created and decrements it when dropped.
 pub(crate) struct GaugeGuard(Gauge);
 
 impl GaugeGuard {
--- a/crates/edge/src/report.rs
+++ b/crates/edge/src/report.rs
@@ -22,7 +22,7 @@
         self.edge.metrics.served.inc();
         let program = self.head.program.as_ref().map_or("", |program| &program.program);
         info!(self.edge.logger, "call served"; "event" => "served", "call" => &self.head.id, "engine" => %placement.engine,
-            "status" => status, "events" => machine.events(), "misses" => machine.misses(),
+            "status" => status, "events" => machine.events(), "misses" => machine.attempts_not_run(),
             "age_ms" => self.age_millis(), "version" => self.selected.version, "program" => program,
             "route" => &*self.selected.route.name, "expected_ms" => placement.estimate.own_millis as u64,
             "zone_ms" => placement.estimate.zone_millis as u64, "unread_tokens" => placement.unread_tokens, "tokens_ahead" => placement.tokens_ahead as u64,
@@ -31,11 +31,11 @@
     }
 
     /// Logs a call that was rejected, failed or aborted, as `outcome` says.
-    pub(crate) fn report_given_up(&self, machine: &CallMachine, outcome: &str, code: ResultCode) {
-        self.edge.metrics.record_given_up(code);
+    pub(crate) fn report_unsuccessful_call(&self, machine: &CallMachine, outcome: &str, code: ResultCode) {
+        self.edge.metrics.record_unsuccessful_call(code);
         info!(self.edge.logger, "call rejected, failed or aborted"; "event" => "given_up", "call" => &self.head.id, "what" => outcome,
-            "code" => code.number(), "title" => code.title(), "runs" => machine.runs(),
-            "misses" => machine.misses(), "events" => machine.events(), "age_ms" => self.age_millis(),
+            "code" => code.number(), "title" => code.title(), "runs" => machine.possible_runs(),
+            "misses" => machine.attempts_not_run(), "events" => machine.events(), "age_ms" => self.age_millis(),
             "route" => &*self.selected.route.name, "service" => &*self.selected.service.name,
             "version" => self.selected.version);
     }
--- a/crates/edge/src/service_queues.rs
+++ b/crates/edge/src/service_queues.rs
@@ -85,7 +85,7 @@
                 }
             };
             if let Some(waiter) = self.waiters.remove(&ticket) {
-                // The receiver is gone if the caller disconnected; dropping its slot removes the call from the
+                // The receiver was dropped if the caller disconnected; dropping its slot removes the call from the
                 // queue.
                 let _ = waiter.send(action);
             }
@@ -245,7 +245,7 @@
                 self.report_rejected(&request, reason, waited, expected_wait, retry_after);
                 Err(request.machine.reject_overloaded(retry_after))
             }
-            // The queue is gone: the call continues as if there were none.
+            // The queue was removed: the call continues as if the service had none.
             Err(_) => Ok(None),
         }
     }
@@ -264,7 +264,7 @@
         let is_expected =
             request.program().is_some_and(|program| state.expected_retries.is_expected(program, now));
         let stage = match (request.has_started, is_expected) {
-            (true, _) => ProgramStage::UnderWay,
+            (true, _) => ProgramStage::InProgress,
             (false, true) => ProgramStage::Returning,
             (false, false) => ProgramStage::New,
         };
--- a/crates/edge/src/state_exchange.rs
+++ b/crates/edge/src/state_exchange.rs
@@ -152,7 +152,7 @@
 
 impl<D: WireFormat> ViewSink for EdgeViewSink<D> {
     fn apply(&self, view: Bytes) {
-        // Malformed views, and those that arrive after the edge is gone, are dropped.
+        // Malformed views, and those that arrive after the edge was dropped, are ignored.
         if let (Some(edge), Ok(view)) = (self.0.upgrade(), PeerView::decode(view)) {
             edge.apply_view(view);
         }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -245,7 +245,7 @@
 
     fn abort(&mut self, code: ResultCode) -> RelayError {
         self.has_ended = true;
-        self.call.report_given_up(&self.machine, "broken off", code);
+        self.call.report_unsuccessful_call(&self.machine, "broken off", code);
         RelayError(code)
     }
 }
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -98,7 +98,7 @@
             turn: TurnBegun {
                 program: open.program.clone(),
                 turn: open.turn.clone(),
-                max_tokens: head.usage.map_or(0, |usage| usage.most_output),
+                max_tokens: head.usage.map_or(0, |usage| usage.max_output),
                 retention_millis,
             },
             budget_tokens: program.token_budget.unwrap_or(0),
--- a/crates/http-client/src/lib.rs
+++ b/crates/http-client/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP client with a connection pool, whose errors tell whether the request can have been received.
+//! HTTP client with a connection pool, whose errors show whether the request can have been received.
 //!
 //! The distinction matters because "not run" may be claimed only for a request of which no byte was sent.
 
--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// The reply that tells a runner to run an admitted turn.
+/// The reply that instructs a runner to run an admitted turn.
 pub(crate) fn run_reply(record: &Program, in_flight: &InFlight, include_history: bool) -> Reply {
     let earlier_messages = if include_history { record.history.messages().to_vec() } else { Vec::new() };
     Reply::Run(Box::new(RunTurn {
--- a/crates/program/src/budget.rs
+++ b/crates/program/src/budget.rs
@@ -110,8 +110,8 @@
         Ok(limits)
     }
 
-    /// Books the budget granted to a sub-agent as spent.
-    pub fn reserve_for_child(&mut self, child: &BudgetLimits) {
+    /// Charges the budget granted to a sub-agent as spent.
+    pub fn charge_child_budget(&mut self, child: &BudgetLimits) {
         self.spent.input_tokens += child.input_tokens;
         self.spent.output_tokens += child.output_tokens;
         self.spent.sub_agents += 1;
@@ -123,7 +123,7 @@
         self.spent.output_tokens = self.spent.output_tokens.saturating_sub(unused.output_tokens);
     }
 
-    /// Books the budget used by a call and releases its reservation.
+    /// Charges the budget used by a call and releases its reservation.
     pub fn settle(&mut self, used: Reservation, counts_as_turn: bool) {
         self.spent.input_tokens += used.input_tokens;
         self.spent.output_tokens += used.output_tokens;
--- a/crates/program/src/leader.rs
+++ b/crates/program/src/leader.rs
@@ -1,7 +1,7 @@
 //! The leader's part of a shard: admission, waiting calls, expiry and replies.
 //!
 //! Its state is volatile. A new leader starts with an empty [`ShardLeader`]: waiting callers retry, and idle leases
-//! start again, which can only extend a program's life.
+//! start again, which can only delay a program's expiry.
 
 mod expiry;
 mod services;
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -50,7 +50,7 @@
     /// Token counts as reported by the engine.
     pub usage: Usage,
     pub engine: EngineName,
-    /// Estimated input tokens booked in the budget.
+    /// Estimated input tokens charged to the budget.
     pub input_tokens: u64,
 }
 
@@ -173,7 +173,7 @@
         if self.children.contains_key(child) {
             return;
         }
-        self.budget.reserve_for_child(&limits);
+        self.budget.charge_child_budget(&limits);
         self.children.insert(child.clone(), Some(limits));
     }
 
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -17,11 +17,11 @@
 const JITTER_SHARE: f64 = 0.05;
 /// Jitter for non-streaming calls. Smaller, as their estimates differ only by the calls in flight.
 const WHOLE_JITTER_SHARE: f64 = 0.01;
-/// Calls over which cross-zone cost is counted for the first call of a program: later ones follow it to its engine.
+/// Number of calls whose cross-zone cost counts for the first call of a program, as later ones go to the same engine.
 pub(crate) const CALLS_PER_NEW_PROGRAM: f64 = 4.0;
 /// Cost of requesting a permit for a cold engine: one exchange with a node of the region.
 const PERMIT_COST_MILLIS: f64 = 3.0;
-/// Extra time at an engine that has not seen the subject of a sticky call, as a fraction of the usual time.
+/// Extra time at an engine that has not served the key of a sticky call, as a fraction of the usual time.
 const AFFINITY_SHARE: f64 = 0.15;
 
 /// A segment of a call's prompt.
@@ -145,7 +145,7 @@
         is_healthy && !peers_see_failures && self.is_admitted(engine)
     }
 
-    /// Whether outlier ejection lets this call through.
+    /// Whether outlier ejection admits this call.
     fn is_admitted(&self, engine: &Engine) -> bool {
         let ejection = engine.ejection.as_ref();
         ejection
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -1,6 +1,6 @@
 //! Cold engines: just started or idle for a while, with a limited rate of calls until they have warmed up.
 //!
-//! An engine's directory entry tells how long it will stay cold. After an evacuation that may arrive too late: the
+//! An engine's directory entry states how long it will stay cold. After an evacuation that may arrive too late: the
 //! next report comes up to a heartbeat later, and by then all nodes would have sent the engine a zone's load. Such an
 //! engine is therefore assumed cold for the service's warm-up time.
 
--- a/crates/routing/src/distance.rs
+++ b/crates/routing/src/distance.rs
@@ -45,7 +45,7 @@
 }
 
 impl PathCost {
-    /// The cost within the zone, which all others are relative to.
+    /// The cost within the zone, relative to which all other costs are given.
     pub const IN_ZONE: Self = Self { round_trip_millis: 0.0, millis_per_kilobyte: 0.0 };
 }
 
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -58,7 +58,7 @@
 pub(crate) struct EjectionState {
     /// Calls of this node.
     pub(crate) recent: RecentCalls,
-    /// When any node last had a call in flight there, as far as known.
+    /// When any node was last known to have a call in flight at the engine.
     pub(crate) used_at: Option<Timestamp>,
     ejection: Option<Ejection>,
     exempt_until: Option<Timestamp>,
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -27,14 +27,14 @@
     /// Number of calls the engine processes concurrently.
     pub slots: usize,
     /// Whether the engine is draining and accepts no new work.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Remaining warm-up time at the time of the report.
     pub warmup_left: Duration,
     /// Sequence number of the engine's report; higher is newer.
     pub report: u64,
 }
 
-/// Outcome of a call, as far as it shows the engine's health.
+/// What the outcome of a call shows about the engine's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Success, or an error caused by the caller.
@@ -98,7 +98,7 @@
             running: 0,
             unread_tokens: 0,
             circuit_breaker: CircuitBreaker::new(circuit_breaker),
-            unusable_since: spec.is_leaving.then_some(now),
+            unusable_since: spec.is_draining.then_some(now),
             is_withdrawn: false,
             slowness: Slowness::nominal(now),
             last_outcome: None,
@@ -189,24 +189,24 @@
     /// Ends this incarnation because a newer one was seen.
     pub(crate) fn supersede(&mut self, now: Timestamp) {
         self.withdraw(now);
-        self.spec.is_leaving = false;
+        self.spec.is_draining = false;
     }
 
     /// Applies a newer directory entry; returns whether availability changed.
     pub(crate) fn update(&mut self, spec: EngineSpec, now: Timestamp) -> bool {
         let is_stale = spec.report < self.spec.report;
-        let rejoins = self.spec.is_leaving && !spec.is_leaving;
+        let rejoins = self.spec.is_draining && !spec.is_draining;
         if is_stale || rejoins {
             // Ignores reordered reports; an engine that drains never rejoins within the same incarnation.
             return false;
         }
         self.is_withdrawn = false;
-        let leaving_since = spec.is_leaving.then_some(now);
-        let has_changed = self.spec.is_leaving != spec.is_leaving
-            || (self.unusable_since.is_some() && leaving_since.is_none());
-        self.unusable_since = match (self.unusable_since, leaving_since) {
+        let draining_since = spec.is_draining.then_some(now);
+        let has_changed = self.spec.is_draining != spec.is_draining
+            || (self.unusable_since.is_some() && draining_since.is_none());
+        self.unusable_since = match (self.unusable_since, draining_since) {
             (Some(since), Some(_)) => Some(since),
-            (_, leaving) => leaving,
+            (_, draining_since) => draining_since,
         };
         if spec.report > self.spec.report {
             self.cold_state.record_report(spec.warmup_left, now);
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -37,7 +37,7 @@
 pub struct Speeds {
     /// Prefill time of one prompt token.
     pub read_millis_per_token: f64,
-    /// Time to the first event besides the prefill.
+    /// Time to the first event excluding the prefill.
     pub first_millis: f64,
     /// Time of one event while no other call is in flight.
     pub event_millis: f64,
@@ -73,7 +73,7 @@
     // A call queues while all slots are taken.
     let queue_rounds = ((engine.running + 1.0 - engine.slots) / engine.slots.max(1.0)).max(0.0);
     let waiting = queue_rounds * (first + generating);
-    // Others generate nothing during this call's prefill, and slightly slower afterwards.
+    // The other running calls generate nothing during this call's prefill, and slightly slower afterwards.
     let added_event_millis = work.events * speeds.event_millis_per_call * engine.slowness;
     let imposed = engine.running * (engine.unread_tokens * read_millis + added_event_millis);
     let path = engine.path;
--- a/crates/routing/src/line_fit.rs
+++ b/crates/routing/src/line_fit.rs
@@ -21,28 +21,28 @@
 pub struct LineFit {
     bounds: FitBounds,
     prior_slope: f64,
-    prior_spread: f64,
+    prior_sum_squares: f64,
     weight: f64,
     mean_x: f64,
     mean_y: f64,
-    spread_x: f64,
-    spread_xy: f64,
+    sum_squares_x: f64,
+    sum_products_xy: f64,
 }
 
 impl LineFit {
     /// Starts from a prior line over `0..=scale`.
     pub fn with_prior(intercept: f64, slope: f64, scale: f64, bounds: FitBounds) -> Self {
         let middle = scale / 2.0;
-        let spread_x = PRIOR_WEIGHT * middle * middle;
+        let sum_squares_x = PRIOR_WEIGHT * middle * middle;
         Self {
             bounds,
             prior_slope: slope,
-            prior_spread: PERMANENT_PRIOR_WEIGHT * middle * middle,
+            prior_sum_squares: PERMANENT_PRIOR_WEIGHT * middle * middle,
             weight: PRIOR_WEIGHT,
             mean_x: middle,
             mean_y: intercept + slope * middle,
-            spread_x,
-            spread_xy: spread_x * slope,
+            sum_squares_x,
+            sum_products_xy: sum_squares_x * slope,
         }
     }
 
@@ -52,15 +52,15 @@
         let (off_x, off_y) = (x - self.mean_x, y - self.mean_y);
         self.mean_x += off_x / self.weight;
         self.mean_y += off_y / self.weight;
-        self.spread_x = self.spread_x * DECAY_FACTOR + off_x * (x - self.mean_x);
-        self.spread_xy = self.spread_xy * DECAY_FACTOR + off_x * (y - self.mean_y);
+        self.sum_squares_x = self.sum_squares_x * DECAY_FACTOR + off_x * (x - self.mean_x);
+        self.sum_products_xy = self.sum_products_xy * DECAY_FACTOR + off_x * (y - self.mean_y);
     }
 
     /// Clamped to its bounds.
     pub fn slope(&self) -> f64 {
         let (lower, upper) = self.bounds.slope;
-        let combined = self.spread_xy + self.prior_spread * self.prior_slope;
-        (combined / (self.spread_x + self.prior_spread)).clamp(lower, upper)
+        let combined = self.sum_products_xy + self.prior_sum_squares * self.prior_slope;
+        (combined / (self.sum_squares_x + self.prior_sum_squares)).clamp(lower, upper)
     }
 
     /// Clamped to its bounds.
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -20,7 +20,7 @@
 const MIN_FAILURE_RATE: f64 = 0.25;
 /// Minimum ratio of an outlier's failure rate to the mean of the rest of its service.
 const MIN_RATE_RATIO: f64 = 3.0;
-/// From here on an engine is a suspect. Suspects count towards the cap on ejections, as engines that begin to fail
+/// Minimum failure rate of a suspect. Suspects count towards the cap on ejections, as engines that begin to fail
 /// together reach the minimum sample at different times.
 const SUSPECT_FAILURES: u32 = 3;
 const SUSPECT_RATE: f64 = MIN_FAILURE_RATE / 2.0;
@@ -33,13 +33,13 @@
 /// Whether and how ejection restricts the calls to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionStage {
-    /// Gets calls as any other.
+    /// Gets its full share of calls.
     Active,
     /// Gets no calls while there is another engine.
     Ejected,
     /// Gets a part of its fair share. Holds the recovery step; in step 0 one call at a time is admitted.
     Recovering(u32),
-    /// Gets calls as any other and can't be ejected for a time, as other engines failed with it.
+    /// Gets its full share of calls and can't be ejected for a time, as too many engines failed together.
     Exempt,
 }
 
@@ -142,7 +142,7 @@
 }
 
 impl EngineSample {
-    /// Whether the engine is kept from its full share.
+    /// Whether the engine gets less than its full share.
     fn is_restricted(&self) -> bool {
         matches!(self.stage, EjectionStage::Ejected | EjectionStage::Recovering(_))
     }
--- a/crates/routing/src/registry.rs
+++ b/crates/routing/src/registry.rs
@@ -92,8 +92,8 @@
     /// Evicts idle engines that have accepted no new work for at least `after`.
     pub fn evict_gone(&mut self, now: Timestamp, after: Duration) {
         self.engines.remove_where(|engine| {
-            let is_long_gone = engine.unusable_since.is_some_and(|since| now.since(since) >= after);
-            engine.running == 0 && !engine.spec.is_leaving && is_long_gone
+            let is_expired = engine.unusable_since.is_some_and(|since| now.since(since) >= after);
+            engine.running == 0 && !engine.spec.is_draining && is_expired
         });
         self.names.remove_unused();
     }
@@ -265,7 +265,7 @@
         self.peer_reports.age(now)
     }
 
-    /// Number of engines, including those that are gone and have not been evicted.
+    /// Number of engines, including removed ones that have not been evicted.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
--- a/crates/routing/src/registry/engine_table.rs
+++ b/crates/routing/src/registry/engine_table.rs
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Removes engines that match, of those with state of their own.
+    /// Removes matching engines that have state of their own.
     pub(crate) fn remove_where(&mut self, matches: impl Fn(&Engine) -> bool) {
-        let gone: Vec<(EngineId, u32)> = self
+        let removed: Vec<(EngineId, u32)> = self
             .distinct()
             .filter(|engine| matches(engine))
             .map(|engine| (engine.spec.id.clone(), engine.key))
             .collect();
-        for (id, key) in gone {
+        for (id, key) in removed {
             self.distinct.remove(&id);
             if self.by_key.get(&key) == Some(&id) {
                 self.by_key.remove(&key);
--- a/crates/routing/src/registry/incarnations.rs
+++ b/crates/routing/src/registry/incarnations.rs
@@ -26,8 +26,8 @@
     Changed,
     /// A known engine restarted; state of its earlier incarnation does not apply.
     Restarted,
-    /// An earlier incarnation than the known one is leaving.
-    EarlierIncarnationLeaving,
+    /// An earlier incarnation than the known one is draining.
+    EarlierIncarnationDraining,
 }
 
 impl EngineRegistry {
@@ -62,7 +62,7 @@
         self.engines.insert(Engine::new(spec, self.circuit_breaker, now));
     }
 
-    /// An earlier incarnation never replaces a later one. If it is leaving, the engine gets no new work until the
+    /// An earlier incarnation never replaces a later one. If it is draining, the engine gets no new work until the
     /// later one reports again: the clock may have stepped back between the two.
     fn apply_earlier_incarnation(
         &mut self,
@@ -70,10 +70,10 @@
         known: &EngineId,
         now: Timestamp,
     ) -> EntryChange {
-        let is_leaving = spec.is_leaving || !spec.id.start().is_known();
-        let engine = self.engines.get_mut(known).filter(|_| is_leaving);
+        let is_draining = spec.is_draining || !spec.id.start().is_known();
+        let engine = self.engines.get_mut(known).filter(|_| is_draining);
         match engine.map(|engine| engine.retire(now)) {
-            Some(true) => EntryChange::EarlierIncarnationLeaving,
+            Some(true) => EntryChange::EarlierIncarnationDraining,
             Some(false) | None => EntryChange::Unchanged,
         }
     }
@@ -94,7 +94,7 @@
         has_changed
     }
 
-    /// Applies a complete listing of the directory; engines that are missing from it are gone.
+    /// Applies a complete listing of the directory; engines that are missing from it are retired.
     ///
     /// After an outage, engines may be missing because they could not report. They stay usable for a grace period.
     pub fn replace_all(&mut self, specs: Vec<EngineSpec>, outage: Duration, now: Timestamp) {
--- a/crates/routing/tests/capacity.rs
+++ b/crates/routing/tests/capacity.rs
@@ -16,7 +16,7 @@
     let mut registry = registry(&ENGINES);
     assert_eq!(registry.capacity("s", NOW).slots, 12);
     assert_eq!(registry.capacity("another", NOW).slots, 0);
-    registry.upsert(EngineSpec { is_leaving: true, report: 2, ..spec("a", "z1") }, NOW);
+    registry.upsert(EngineSpec { is_draining: true, report: 2, ..spec("a", "z1") }, NOW);
     assert_eq!(registry.capacity("s", NOW).slots, 8);
     let failing = EngineId::new("b");
     for _ in 0..2 {
--- a/crates/routing/tests/engine_fixtures/mod.rs
+++ b/crates/routing/tests/engine_fixtures/mod.rs
@@ -21,7 +21,7 @@
         address: ([10, 0, 0, 1], 80).into(),
         zone: zone.into(),
         slots: 4,
-        is_leaving: false,
+        is_draining: false,
         warmup_left: Duration::ZERO,
         report: 1,
     }
--- a/crates/routing/tests/engine_incarnations.rs
+++ b/crates/routing/tests/engine_incarnations.rs
@@ -46,7 +46,7 @@
 #[test]
 fn draining_engine_gets_work_after_a_restart() {
     let mut registry = registry_with_engine();
-    registry.upsert(EngineSpec { is_leaving: true, ..entry("a", 1_000, 901) }, NOW);
+    registry.upsert(EngineSpec { is_draining: true, ..entry("a", 1_000, 901) }, NOW);
     assert_eq!(registry.usable("s", NOW), 0);
     registry.upsert(entry("a", 2_000, 1), NOW);
     assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("a"));
@@ -150,8 +150,8 @@
 #[test]
 fn leaving_report_counts_when_the_clock_stepped_back() {
     let mut registry = registry_with_engine();
-    let leaving = EngineSpec { is_leaving: true, ..entry("a", 400, 3) };
-    assert_eq!(registry.upsert(leaving, NOW), EntryChange::EarlierIncarnationLeaving);
+    let draining = EngineSpec { is_draining: true, ..entry("a", 400, 3) };
+    assert_eq!(registry.upsert(draining, NOW), EntryChange::EarlierIncarnationDraining);
     assert_eq!(registry.usable("s", NOW), 0);
     // The later incarnation still runs and reports again.
     registry.upsert(entry("a", 1_000, 901), NOW);
--- a/crates/routing/tests/engines.rs
+++ b/crates/routing/tests/engines.rs
@@ -132,7 +132,7 @@
 #[test]
 fn draining_engine_gets_no_calls_and_does_not_rejoin() {
     let mut registry = registry(&[("a", "z1"), ("b", "z1")]);
-    registry.upsert(EngineSpec { is_leaving: true, report: 2, ..spec("a", "z1") }, NOW);
+    registry.upsert(EngineSpec { is_draining: true, report: 2, ..spec("a", "z1") }, NOW);
     let delayed = EngineSpec { report: 3, ..spec("a", "z1") };
     assert_eq!(registry.upsert(delayed, NOW), EntryChange::Unchanged);
     assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some("b"));
@@ -142,7 +142,7 @@
 #[test]
 fn reordered_report_is_ignored() {
     let mut registry = registry(&[("a", "z1")]);
-    registry.upsert(EngineSpec { report: 9, is_leaving: true, ..spec("a", "z1") }, NOW);
+    registry.upsert(EngineSpec { report: 9, is_draining: true, ..spec("a", "z1") }, NOW);
     assert_eq!(registry.upsert(EngineSpec { report: 8, ..spec("a", "z1") }, NOW), EntryChange::Unchanged);
 }
 
--- a/crates/routing/tests/outliers.rs
+++ b/crates/routing/tests/outliers.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use simulated_fleet::{Build, Result, Scenario, Work, at, edge_registry, engine_id, simulate};
+use simulated_fleet::{Build, RequestKind, Result, Scenario, at, edge_registry, engine_id, simulate};
 use sumacdrift_calls::{EngineId, EngineStart};
 use sumacdrift_fleet_view::{EngineLoad, Loads, engine_key};
 use sumacdrift_routing::{
@@ -33,7 +33,7 @@
         builds: vec![build; EDGES],
         engines: ENGINES,
         slots: 64,
-        work: Work::Stream,
+        request_kind: RequestKind::Stream,
         calls_per_second: 600.0,
         duration: Duration::from_millis(duration),
         failure_chance: Box::new(move |engine, now| {
@@ -89,7 +89,7 @@
         let fault = |build| Scenario {
             engines: 4,
             slots: 6,
-            work: Work::Whole,
+            request_kind: RequestKind::Buffered,
             calls_per_second: 120.0,
             ..fault(seed, build, 1, FAULT_START_MILLIS..u64::MAX, 25_000)
         };
--- a/crates/routing/tests/regions.rs
+++ b/crates/routing/tests/regions.rs
@@ -46,9 +46,9 @@
 #[test]
 fn calls_prefer_own_zone_then_own_region_then_other_regions() {
     let mut registry = registry(&[("here", "e1"), ("near", "e2"), ("far", "w1")]);
-    for gone in ["here", "near", "far"] {
-        assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some(gone));
-        registry.remove(&EngineId::new(gone), NOW);
+    for expected in ["here", "near", "far"] {
+        assert_eq!(chosen(&registry, &request(&[]), NOW).as_deref(), Some(expected));
+        registry.remove(&EngineId::new(expected), NOW);
     }
 }
 
--- a/crates/routing/tests/simulated_fleet/mod.rs
+++ b/crates/routing/tests/simulated_fleet/mod.rs
@@ -32,9 +32,9 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
+pub enum RequestKind {
     Stream,
-    Whole,
+    Buffered,
 }
 
 pub struct Scenario {
@@ -42,7 +42,7 @@
     pub builds: Vec<Build>,
     pub engines: usize,
     pub slots: usize,
-    pub work: Work,
+    pub request_kind: RequestKind,
     pub calls_per_second: f64,
     pub duration: Duration,
     /// Failure probability of a call, by engine and time of its end.
@@ -130,7 +130,7 @@
             address: ([10, 0, 0, 1], 80).into(),
             zone: "z".into(),
             slots,
-            is_leaving: false,
+            is_draining: false,
             warmup_left: Duration::ZERO,
             report: 1,
         };
@@ -237,9 +237,9 @@
 
     fn begin_call(&mut self, edge: usize, now: Timestamp) {
         let parts = [RequiredPart { part: self.random.random(), tokens: 500 }];
-        let work = match self.scenario.work {
-            Work::Stream => RequestedWork::Stream { parts: &parts },
-            Work::Whole => RequestedWork::Buffered { usual: CALL_TIME, is_sticky: false },
+        let work = match self.scenario.request_kind {
+            RequestKind::Stream => RequestedWork::Stream { parts: &parts },
+            RequestKind::Buffered => RequestedWork::Buffered { usual: CALL_TIME, is_sticky: false },
         };
         let request = PlacementRequest {
             service: "s",
--- a/crates/routing/tests/stale_reports.rs
+++ b/crates/routing/tests/stale_reports.rs
@@ -40,7 +40,7 @@
             address: ([10, 0, 0, 1], 80).into(),
             zone: "z".into(),
             slots: 64,
-            is_leaving: false,
+            is_draining: false,
             warmup_left: Duration::ZERO,
             report: 1,
         };
--- a/crates/scheduling/src/expected_retries.rs
+++ b/crates/scheduling/src/expected_retries.rs
@@ -27,7 +27,7 @@
 }
 
 impl ExpectedRetries {
-    /// Records that a program was rejected and told to retry after this delay.
+    /// Records that a program was rejected with this retry delay.
     pub fn record_rejection(&mut self, program: u64, retry_after: Duration, now: Timestamp) {
         self.expected.retain(|_, expected| expected.retry_at + LATE_TOLERANCE > now);
         if self.expected.len() >= MAX_PROGRAMS
@@ -39,7 +39,7 @@
         self.expected.insert(program, ExpectedRetry { rejected_at: now, retry_at: now + retry_after });
     }
 
-    /// Whether a call that arrives now is the retry that the program was told to make.
+    /// Whether a call that arrives now is the program's expected retry.
     pub fn is_expected(&self, program: u64, now: Timestamp) -> bool {
         self.expected.get(&program).is_some_and(|expected| {
             let has_waited =
--- a/crates/scheduling/src/order.rs
+++ b/crates/scheduling/src/order.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Sort key of a queued call; the smallest is served first.
+/// Sort key of a queued call; the smallest is served first. The flags are negated because `false` sorts first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey {
     is_not_starving: bool,
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -7,9 +7,9 @@
 /// Weights of the bid cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementWeights {
-    /// Cost of each second until the call ends.
+    /// Cost per second of the call's estimated time to completion.
     pub latency: f64,
-    /// Cost of each second of prefill for uncached context, or for context that the call evicts.
+    /// Cost per second of prefill for uncached tokens, and for tokens that the call would evict from the cache.
     pub cache: f64,
 }
 
--- a/crates/scheduling/src/program_order.rs
+++ b/crates/scheduling/src/program_order.rs
@@ -13,8 +13,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProgramStage {
     /// Earlier calls were answered.
-    UnderWay,
-    /// The first call was rejected and is retried at the time that the caller was told.
+    InProgress,
+    /// The first call was rejected; this is its retry, after the delay that the rejection requested.
     Returning,
     /// No call was answered or rejected yet.
     New,
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -73,7 +73,7 @@
     pub time_to_first_token: Duration,
     /// Time from the first to the last token.
     pub decode_time: Duration,
-    /// Boundary after the answer, up to which the cache now holds the history; `None` if unknown.
+    /// The prefix, answer included, that the cache now holds; `None` if unknown.
     pub end: Option<ContextPrefix>,
 }
 
--- a/crates/scheduling/src/service_queue.rs
+++ b/crates/scheduling/src/service_queue.rs
@@ -23,7 +23,7 @@
 const LEARNING_RATE: f64 = 0.1;
 /// Upper bound on expected waits, longer than any caller waits.
 const MAX_EXPECTED_WAIT: Duration = Duration::from_secs(3600);
-/// Rounds a share to the nearest whole call, where the node has no number of its own.
+/// Rounds a share to the nearest whole call.
 const DEFAULT_ROUNDING_OFFSET: f64 = 0.5;
 /// Fractional part of the golden ratio: its multiples modulo 1 are evenly distributed.
 const GOLDEN_STEP: f64 = 0.618_033_988_749_895;
@@ -332,7 +332,7 @@
         if !call.can_meet_deadline(admitted_at) {
             return Some(RejectionReason::CannotBeAnswered);
         }
-        let program_deadline = call.program_deadline.filter(|_| call.stage != ProgramStage::UnderWay)?;
+        let program_deadline = call.program_deadline.filter(|_| call.stage != ProgramStage::InProgress)?;
         let max_wait =
             program_deadline.since(waiting.enqueued_at).mul_f64(self.settings.max_first_wait_fraction);
         (admitted_at > waiting.enqueued_at + max_wait).then_some(RejectionReason::ProgramTooLate)
@@ -377,7 +377,7 @@
     fn precedence_time(&self, waiting: &WaitingCall<QueuedCall>, now: Timestamp) -> Option<Timestamp> {
         let bound = self.settings.starvation_bound;
         let starves_at = now.max(waiting.enqueued_at + bound);
-        let can_wait_for_it = starves_at == now || waiting.call.stage == ProgramStage::UnderWay;
+        let can_wait_for_it = starves_at == now || waiting.call.stage == ProgramStage::InProgress;
         (can_wait_for_it && is_starving(&waiting.call, waiting.enqueued_at, starves_at, bound))
             .then_some(starves_at)
     }
--- a/crates/scheduling/src/work.rs
+++ b/crates/scheduling/src/work.rs
@@ -5,17 +5,17 @@
 /// Rank of a priority class; lower ranks are served first.
 pub type PriorityRank = u32;
 
-/// Message boundaries listed from the start of a prompt, where system prompts and shared contexts end.
+/// Number of a prompt's shortest prefixes that are listed; they cover system prompts and shared contexts.
 const LEADING_PREFIXES: usize = 4;
-/// Message boundaries listed from the end of a prompt, where earlier turns of the program end.
+/// Number of a prompt's longest prefixes that are listed; they cover earlier turns of the program.
 const TRAILING_PREFIXES: usize = 8;
 
-/// A message boundary of a prompt, up to which an engine's cache may hold the context.
+/// A prefix of a prompt that ends at a message boundary and that an engine's cache may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContextPrefix {
-    /// Digest of the messages before the boundary.
+    /// Digest of the messages of the prefix.
     pub digest: PrefixDigest,
-    /// Estimated tokens before the boundary.
+    /// Estimated tokens of the prefix.
     pub tokens: TokenCount,
 }
 
@@ -27,7 +27,7 @@
     pub program: ProgramId,
     pub tenant: TenantName,
     pub rank: PriorityRank,
-    /// Message boundaries at which caches may match, shortest first; the last one is the whole prompt.
+    /// Prefixes of the prompt that caches may hold, shortest first; the last one is the whole prompt.
     pub prefixes: Vec<ContextPrefix>,
     pub max_output_tokens: TokenCount,
     /// Tokens generated for earlier calls of the program.
@@ -43,9 +43,9 @@
     }
 }
 
-/// Selects the message boundaries of a prompt at which caches are likely to match.
+/// Selects the prefixes of a prompt that caches are likely to hold, shortest first.
 ///
-/// The first and last few cover shared contexts and the program's recent turns; listing all of them would make
+/// The shortest and longest few cover shared contexts and the program's recent turns; listing all of them would make
 /// calls grow with the history.
 pub fn context_prefixes(messages: &[ChatMessage]) -> Vec<ContextPrefix> {
     let mut digest = PrefixDigest::default();
--- a/crates/scheduling/tests/load_simulation/mod.rs
+++ b/crates/scheduling/tests/load_simulation/mod.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of nodes with queues, engines that serve in order of arrival, and programs of calls.
 //!
 //! Nodes receive each other's load reports with a delay. A node sends a call to the engine with the least known load out of a
-//! random sample. Callers retry once, at the time they were told.
+//! random sample. Callers retry once, after the requested delay.
 #![allow(dead_code, unused_imports)]
 
 mod engine;
@@ -260,7 +260,7 @@
         let stage = match (program.answered, program.was_rejected) {
             (0, false) => ProgramStage::New,
             (0, true) => ProgramStage::Returning,
-            _ => ProgramStage::UnderWay,
+            _ => ProgramStage::InProgress,
         };
         QueuedCall {
             rank: record.rank,
--- a/crates/scheduling/tests/load_simulation/outcome.rs
+++ b/crates/scheduling/tests/load_simulation/outcome.rs
@@ -69,7 +69,7 @@
     pub admissions: Vec<AdmissionRecord>,
     pub rejections: Vec<RejectionRecord>,
     pub samples: Vec<FleetSample>,
-    /// Retry times that rejected callers were told.
+    /// Retry times requested of rejected callers.
     pub scheduled_retries: Vec<Timestamp>,
     /// Calls rejected because all engines that were tried were full.
     pub engine_rejections: usize,
--- a/crates/scheduling/tests/overload_all_ranks.rs
+++ b/crates/scheduling/tests/overload_all_ranks.rs
@@ -25,7 +25,7 @@
 }
 
 /// The burst without its first second, in which queues fill up.
-fn saturated() -> Range<Timestamp> {
+fn saturated_period() -> Range<Timestamp> {
     at_second(5.0)..at_second(10.0)
 }
 
@@ -50,7 +50,7 @@
 fn report(name: &str, seed: u64, outcome: &SimulationOutcome) {
     println!(
         "{name} seed {seed}: {:.0} answers/s, started programs completed {:.3}, admitted calls answered {:.3}, wait after the burst {:?}, calls held too long {}",
-        outcome.answers_per_second(&saturated()),
+        outcome.answers_per_second(&saturated_period()),
         outcome.started_completion_fraction(&burst()),
         outcome.admitted_answer_fraction(),
         outcome.mean_wait(&after_burst()),
@@ -64,8 +64,8 @@
         let fitting_load = fitting_load(seed);
         assert!(fitting_load.scheduled_retries.is_empty(), "seed {seed}: the load causes rejections");
         let outcome = simulate(&overloaded(Policy::Queued), seed);
-        let fitting_rate = fitting_load.answers_per_second(&saturated());
-        let answered = outcome.answers_per_second(&saturated());
+        let fitting_rate = fitting_load.answers_per_second(&saturated_period());
+        let answered = outcome.answers_per_second(&saturated_period());
         report("node queues", seed, &outcome);
         println!("fitting load, seed {seed}: {fitting_rate:.0} answers/s");
         assert!(
--- a/crates/scheduling/tests/service_queue.rs
+++ b/crates/scheduling/tests/service_queue.rs
@@ -162,7 +162,7 @@
 fn a_higher_rank_is_admitted_first_before_the_starvation_bound() {
     let bound = ServiceQueueSettings::default().starvation_bound;
     let mut queue = full_queue();
-    let low_rank_call = QueuedCall { deadline: at(100_000), ..call(2, ProgramStage::UnderWay, at(1)) };
+    let low_rank_call = QueuedCall { deadline: at(100_000), ..call(2, ProgramStage::InProgress, at(1)) };
     assert!(queue.enqueue(QueueTicket(1), low_rank_call, at(1)).is_empty());
     let later = at(0) + bound;
     assert!(queue.enqueue(QueueTicket(2), new_call(0, later), later).is_empty());
@@ -176,7 +176,7 @@
     let late = QueuedCall {
         program_deadline: Some(at(100)),
         deadline: at(100_000),
-        ..call(0, ProgramStage::UnderWay, at(0))
+        ..call(0, ProgramStage::InProgress, at(0))
     };
     assert!(queue.enqueue(QueueTicket(1), late, at(0)).is_empty());
     let later = at(0) + bound;
@@ -187,7 +187,7 @@
 #[test]
 fn programs_in_progress_precede_retried_ones_and_those_precede_new_ones() {
     let mut queue = full_queue();
-    let stages = [ProgramStage::New, ProgramStage::Returning, ProgramStage::UnderWay];
+    let stages = [ProgramStage::New, ProgramStage::Returning, ProgramStage::InProgress];
     for (ticket, stage) in (1..).zip(stages) {
         assert!(queue.enqueue(QueueTicket(ticket), call(0, stage, at(ticket)), at(ticket)).is_empty());
     }
@@ -199,7 +199,7 @@
     let mut queue = full_queue();
     for (ticket, end) in [(1, 40_000), (2, 20_000), (3, 30_000)] {
         let call =
-            QueuedCall { program_deadline: Some(at(end)), ..call(0, ProgramStage::UnderWay, at(ticket)) };
+            QueuedCall { program_deadline: Some(at(end)), ..call(0, ProgramStage::InProgress, at(ticket)) };
         assert!(queue.enqueue(QueueTicket(ticket), call, at(ticket)).is_empty());
     }
     assert_eq!(admission_order(&mut queue, at(10)), [2, 3, 1]);
@@ -208,7 +208,7 @@
 #[test]
 fn a_call_is_rejected_once_it_cannot_meet_its_deadline() {
     let mut queue = full_queue();
-    let short = QueuedCall { deadline: at(400), ..call(0, ProgramStage::UnderWay, at(0)) };
+    let short = QueuedCall { deadline: at(400), ..call(0, ProgramStage::InProgress, at(0)) };
     assert!(queue.enqueue(QueueTicket(1), short, at(0)).is_empty());
     assert!(queue.tick(at(100)).is_empty());
     assert_eq!(rejected(&queue.tick(at(200))), [(1, RejectionReason::CannotBeAnswered)]);
@@ -226,7 +226,7 @@
         assert_eq!(rejected(&queue.tick(later)), [(1, RejectionReason::ProgramTooLate)]);
     }
     let mut queue = full_queue();
-    assert!(queue.enqueue(QueueTicket(1), call(0, ProgramStage::UnderWay, at(0)), at(0)).is_empty());
+    assert!(queue.enqueue(QueueTicket(1), call(0, ProgramStage::InProgress, at(0)), at(0)).is_empty());
     assert!(
         queue.tick(at(20_000)).is_empty(),
         "calls of programs in progress wait as long as they can be answered"
@@ -270,7 +270,7 @@
 
 fn random_call(random: &mut ChaCha8Rng, now: Timestamp) -> QueuedCall {
     let mut below = |bound: u64| random.next_u64() % bound;
-    let stage = [ProgramStage::New, ProgramStage::Returning, ProgramStage::UnderWay][below(3) as usize];
+    let stage = [ProgramStage::New, ProgramStage::Returning, ProgramStage::InProgress][below(3) as usize];
     let program_deadline = (below(4) > 0).then(|| now + Duration::from_millis(below(8_000)));
     QueuedCall {
         rank: below(4) as u32,
@@ -387,7 +387,7 @@
             let mut queue = ServiceQueue::new(settings);
             let peer_demand = vec![RankDemand { rank: 0, running: 0.0, waiting: (nodes - 1) as f64 }];
             queue.update_capacity(Some(capacity(4.0)), peer_demand, at(second * 1_000));
-            let call = call(0, ProgramStage::UnderWay, at(second * 1_000));
+            let call = call(0, ProgramStage::InProgress, at(second * 1_000));
             !queue.enqueue(QueueTicket(1), call, at(second * 1_000)).is_empty()
         };
         (0..nodes).filter(is_admitted).count()
@@ -403,7 +403,7 @@
 fn an_abandoned_call_does_not_count_as_completed() {
     let mut queue = ServiceQueue::new(ServiceQueueSettings::default());
     queue.update_capacity(Some(capacity(1.0)), Vec::new(), at(0));
-    queue.enqueue(QueueTicket(1), call(0, ProgramStage::UnderWay, at(0)), at(0));
+    queue.enqueue(QueueTicket(1), call(0, ProgramStage::InProgress, at(0)), at(0));
     queue.record_abandoned(QueueTicket(1), at(1));
     assert_eq!(queue.running(), 0);
     // No completion was recorded, so the default delay applies.
@@ -416,7 +416,7 @@
     let mut queue =
         ServiceQueue::new(ServiceQueueSettings { max_waiting_bytes: 10, ..ServiceQueueSettings::default() });
     queue.update_capacity(Some(capacity(1.0)), Vec::new(), at(0));
-    let large = QueuedCall { bytes: 100, ..call(0, ProgramStage::UnderWay, at(0)) };
+    let large = QueuedCall { bytes: 100, ..call(0, ProgramStage::InProgress, at(0)) };
     let actions = queue.enqueue(QueueTicket(1), large, at(0));
     assert!(matches!(actions[..], [ServiceQueueAction::Admit { .. }]), "{actions:?}");
 }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Removes a request from the pending ones; tells the peer to cancel it if it was still pending.
+/// Removes a request from the pending ones; requests its cancellation from the peer if it was still pending.
 struct CancelOnDrop<'a> {
     link: &'a Link,
     exchange: u64,
