--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -107,8 +107,8 @@
         let (head, mut body) = response.into_parts();
         if !head.status.is_success() {
             let mut bytes = Vec::new();
-            while let Ok(Some(piece)) = next_chunk(&mut body).await {
-                bytes.extend_from_slice(&piece);
+            while let Ok(Some(chunk)) = next_chunk(&mut body).await {
+                bytes.extend_from_slice(&chunk);
             }
             return ChatOutcome::Refused(to_refusal(&head.headers, &bytes));
         }
@@ -226,7 +226,7 @@
         match next_chunk(body).await {
             Err(_) => return ChatOutcome::Broken { not_sent: false },
             Ok(None) => break,
-            Ok(Some(piece)) => buffer.extend_from_slice(&piece),
+            Ok(Some(chunk)) => buffer.extend_from_slice(&chunk),
         }
         while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = buffer.drain(..=end).collect();
@@ -240,9 +240,9 @@
             if event.get("code").is_some() {
                 return ChatOutcome::Refused(problem_to_refusal(&event, call));
             }
-            if let Some(piece) = event.pointer("/choices/0/delta/content").and_then(Value::as_str) {
+            if let Some(content) = event.pointer("/choices/0/delta/content").and_then(Value::as_str) {
                 first_token.get_or_insert_with(|| started.elapsed());
-                text.push_str(piece);
+                text.push_str(content);
             }
             if let Some(reported) = event.get("usage").filter(|usage| usage.is_object()) {
                 usage = read_usage(reported);
--- a/crates/bench/src/choices.rs
+++ b/crates/bench/src/choices.rs
@@ -16,7 +16,7 @@
 const ZONE_NAMES: [&str; 3] = ["a", "b", "c"];
 /// Engines that hold a part of the prompt.
 const PART_HOLDERS: usize = 12;
-/// Engines in use of which a node of a large fleet is told.
+/// Engines in use that a node of a large fleet knows from the reports of its peers.
 const ENGINES_IN_USE: usize = 64;
 
 /// Cost of a choice.
@@ -37,7 +37,7 @@
 
 fn measure(engines: usize, in_use: usize) -> ChoiceSlope {
     let now = Timestamp::default() + Duration::from_secs(10);
-    let book = build_book(engines, in_use, now);
+    let registry = build_registry(engines, in_use, now);
     let parts = [RequiredPart { part: 1, tokens: 2_560 }, RequiredPart { part: 2, tokens: 6_000 }];
     let started = Instant::now();
     let mut chosen = 0;
@@ -53,15 +53,15 @@
             deprioritized: &[],
             only: None,
         };
-        chosen += usize::from(book.choose(&request, now).is_some());
+        chosen += usize::from(registry.choose(&request, now).is_some());
     }
     assert_eq!(chosen, TIMED_CHOICES as usize, "every choice finds an engine");
     ChoiceSlope { engines, in_use, micros: started.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_CHOICES) }
 }
 
-/// A book of engines, of which `in_use` have calls and some hold parts of the prompt.
-fn build_book(engines: usize, in_use: usize, now: Timestamp) -> EngineRegistry {
-    let mut book = EngineRegistry::new(
+/// A registry of engines, of which `in_use` have calls and some hold parts of the prompt.
+fn build_registry(engines: usize, in_use: usize, now: Timestamp) -> EngineRegistry {
+    let mut registry = EngineRegistry::new(
         Location::in_zone("a"),
         TrafficPrices::default(),
         DisabledMechanisms::default(),
@@ -69,20 +69,20 @@
     );
     let id = |engine: usize| format!("engine-{engine}");
     for engine in 0..engines {
-        book.upsert(engine_spec(&id(engine), ZONE_NAMES[engine % ZONE_NAMES.len()]), now);
+        registry.upsert(engine_spec(&id(engine), ZONE_NAMES[engine % ZONE_NAMES.len()]), now);
     }
-    book.regroup_interchangeable(|_| false, now);
+    registry.regroup_interchangeable(|_| false, now);
     for engine in 0..in_use {
-        book.record_sent(&EngineId::new(&id(engine)), 100, now);
+        registry.record_sent(&EngineId::new(&id(engine)), 100, now);
     }
     for engine in 0..PART_HOLDERS.min(engines) {
         let engine = engine_key(&id(engine));
-        book.record_cached_part(CachedPart { part: 1, engine, tokens: 2_560 }, now);
+        registry.record_cached_part(CachedPart { part: 1, engine, tokens: 2_560 }, now);
     }
-    book.record_cached_part(CachedPart { part: 2, engine: engine_key(&id(0)), tokens: 5_000 }, now);
+    registry.record_cached_part(CachedPart { part: 2, engine: engine_key(&id(0)), tokens: 5_000 }, now);
     let load = |engine| EngineLoad { engine: engine_key(&id(engine)), running: 6, ..EngineLoad::default() };
-    book.apply_peer_loads(&Loads { engines: (0..in_use).map(load).collect() }, now);
-    book
+    registry.apply_peer_loads(&Loads { engines: (0..in_use).map(load).collect() }, now);
+    registry
 }
 
 fn engine_spec(id: &str, zone: &str) -> EngineSpec {
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -69,18 +69,18 @@
     /// Number of concurrent streams.
     pub streams: usize,
     pub target: Target,
-    pub first_token_seconds: AddedTime,
-    pub inter_token_seconds: AddedTime,
+    pub first_token_seconds: AddedLatency,
+    pub inter_token_seconds: AddedLatency,
     /// Processor time that the nodes spend per token.
     pub cpu_micros_per_token: f64,
     /// Tokens per second that a node can handle on one core, from `cpu_micros_per_token`.
     pub tokens_per_second_and_core: f64,
 }
 
-/// Differences of percentiles.
+/// Percentiles minus those of the direct target, in seconds.
 #[derive(Debug, Clone, Copy, Serialize)]
 #[allow(missing_docs)]
-pub struct AddedTime {
+pub struct AddedLatency {
     pub p50: f64,
     pub p99: f64,
 }
@@ -210,9 +210,9 @@
     let mut body = response.into_body();
     let mut last = None;
     let mut tokens = 0;
-    while let Ok(Some(piece)) = next_chunk(&mut body).await {
+    while let Ok(Some(chunk)) = next_chunk(&mut body).await {
         let arrived = Instant::now();
-        for _ in 0..count_tokens(&piece) {
+        for _ in 0..count_tokens(&chunk) {
             match last {
                 None => total.first_token.add(arrived - sent),
                 Some(before) => total.inter_token.add(arrived - before),
@@ -226,10 +226,10 @@
     total.incomplete += u64::from(tokens != TOKENS_PER_ANSWER);
 }
 
-/// Counts the tokens in a piece of a stream without parsing it, to keep the caller's processor time low.
-fn count_tokens(piece: &[u8]) -> usize {
+/// Counts the tokens in a chunk of the stream without parsing it, to keep the caller's processor time low.
+fn count_tokens(chunk: &[u8]) -> usize {
     const MARK: &[u8] = b"\"content\":\"";
-    let starts = piece.windows(MARK.len() + 1).filter(|window| window.starts_with(MARK));
+    let starts = chunk.windows(MARK.len() + 1).filter(|window| window.starts_with(MARK));
     // The node's first event contains the role and an empty content.
     starts.filter(|window| window[MARK.len()] != b'"').count()
 }
@@ -279,8 +279,8 @@
     added
 }
 
-fn difference(result: Percentiles, direct: Percentiles) -> AddedTime {
-    AddedTime { p50: result.p50 - direct.p50, p99: result.p99 - direct.p99 }
+fn difference(result: Percentiles, direct: Percentiles) -> AddedLatency {
+    AddedLatency { p50: result.p50 - direct.p50, p99: result.p99 - direct.p99 }
 }
 
 impl OverheadReport {
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -272,7 +272,7 @@
     fleet.stop().await;
 }
 
-/// Requests a long answer, reads the first piece and disconnects.
+/// Requests a long answer, reads the first chunk and disconnects.
 async fn disconnect_mid_answer(fleet: &Fleet, program: Option<&str>) {
     let body = json!({
         "model": MODEL,
@@ -289,7 +289,7 @@
     let client = sumacdrift_http_client::HttpClient::new();
     let response = client.send(request, Duration::from_secs(20)).await.expect("an answer begins");
     let mut body = response.into_body();
-    sumacdrift_http_client::next_chunk(&mut body).await.expect("a piece");
+    sumacdrift_http_client::next_chunk(&mut body).await.expect("a chunk");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/calls/src/machine.rs
+++ b/crates/calls/src/machine.rs
@@ -161,7 +161,7 @@
     /// Whether a call without an answer may have run.
     pub fn ran(&self) -> Ran {
         let is_unsent = self.may_have_run.is_empty() && self.in_flight.is_none();
-        if is_unsent || is_broken(Rule::SentIsNeverNotRun) { Ran::No } else { Ran::Unknown }
+        if is_unsent || is_broken(Rule::SentCallsAreNotReportedAsNotRun) { Ran::No } else { Ran::Unknown }
     }
 
     /// Forbids retries, because another engine's answer can't continue what was sent to the caller.
--- a/crates/config/src/current_configuration.rs
+++ b/crates/config/src/current_configuration.rs
@@ -43,7 +43,7 @@
 
     /// Replaces the current configuration if the offered one is newer. Returns whether it was.
     pub fn replace_if_newer(&mut self, offered: T) -> bool {
-        if offered.generation() <= self.generation() && !is_broken(Rule::GenerationsOnlyRise) {
+        if offered.generation() <= self.generation() && !is_broken(Rule::GenerationsAreMonotonic) {
             return false;
         }
         self.current = Some(offered);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,7 +19,7 @@
 pub use current_configuration::{CurrentConfiguration, Versioned};
 pub use document::{ConfigError, ConfigErrors};
 pub use settings::{
-    FleetSettings, LimitSettings, ListenSettings, LogLevel, PlatformSettings, Role, Settings,
+    ConfigurationSources, FleetSettings, LimitSettings, ListenSettings, LogLevel, Role, Settings,
 };
 
 /// The supported version of the bundle's schema.
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -38,7 +38,7 @@
 pub enum LogLevel {
     /// Failures that need an operator.
     Error,
-    /// Conditions that may come to need an operator.
+    /// Conditions that may require an operator later.
     Warning,
     /// Decisions that explain the node's behaviour to an operator.
     Info,
@@ -72,7 +72,7 @@
     pub roles: BTreeSet<Role>,
     pub listen: ListenSettings,
     pub fleet: FleetSettings,
-    pub platform: PlatformSettings,
+    pub configuration_sources: ConfigurationSources,
     pub limits: LimitSettings,
     pub log_level: LogLevel,
 }
@@ -109,7 +109,7 @@
 
 /// Sources of the configuration bundle.
 #[derive(Debug, Clone, Default)]
-pub struct PlatformSettings {
+pub struct ConfigurationSources {
     /// Address of the platform's object API; if `None`, the bundle file is the only source.
     pub object_api: Option<SocketAddr>,
     /// Path of the bundle that is loaded at start.
@@ -151,7 +151,7 @@
     let node = root.table("node", read_node);
     let listen = root.table("listen", read_listen);
     let fleet = root.table("fleet", read_fleet);
-    let platform = root.table("platform", read_platform);
+    let configuration_sources = root.table("platform", read_configuration_sources);
     let limits = root.table("limits", read_limits);
     let log_level =
         root.table("log", |table| table.optional_parsed("level", "error, warning, info or debug"));
@@ -163,7 +163,7 @@
         roles,
         listen: listen?,
         fleet,
-        platform,
+        configuration_sources,
         limits,
         log_level: log_level.unwrap_or(LogLevel::Info),
     })
@@ -223,13 +223,13 @@
     }
 }
 
-fn read_platform(table: &mut Table<'_>) -> PlatformSettings {
+fn read_configuration_sources(table: &mut Table<'_>) -> ConfigurationSources {
     let object_api = table.optional_parsed("object_api", "an IP address with port");
     let bundle_file = table.optional_string("bundle_file");
     if object_api.is_none() && bundle_file.is_none() {
         table.report_error("bundle_file", "object_api or bundle_file is required");
     }
-    PlatformSettings { object_api, bundle_file }
+    ConfigurationSources { object_api, bundle_file }
 }
 
 fn read_limits(table: &mut Table<'_>) -> LimitSettings {
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -81,7 +81,7 @@
 pub struct ChatStream {
     /// Metadata known before the first token.
     pub head: ChatHead,
-    /// Parts of the answer. Dropping the receiver tells the node that the caller has disconnected.
+    /// Parts of the answer. Dropping the receiver signals that the caller has disconnected.
     pub items: mpsc::Receiver<ChatItem>,
 }
 
@@ -115,7 +115,7 @@
     pub method: String,
     /// Path and query after the service's name; begins with a slash.
     pub path: String,
-    /// The request's `content-type` and `accept`, as far as present.
+    /// The request's `content-type` and `accept` headers, if present.
     pub headers: Vec<ServiceHeader>,
     pub body: Bytes,
 }
--- a/crates/ledger/src/member_watch.rs
+++ b/crates/ledger/src/member_watch.rs
@@ -131,7 +131,7 @@
                 voting.iter().filter_map(|witness| witness.unresponsive_time_of(&member.node, now));
             let own_unresponsive_time = now.since(own.answered_at);
             match reported_times.min() {
-                Some(shortest) if !is_broken(Rule::LedgerLostHasWitnesses) => {
+                Some(shortest) if !is_broken(Rule::LedgerMemberLossNeedsWitnesses) => {
                     shortest >= replacement.lost_after
                 }
                 Some(_) => own_unresponsive_time >= replacement.lost_after,
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -219,7 +219,7 @@
 fn shares_region(places: &Topology, group: &Group, own: &Member) -> bool {
     let is_near = |member: &Member| places.nearness(&member.zone, &own.zone) != Nearness::OtherRegion;
     let is_empty = group.members.is_empty();
-    is_empty || group.members.iter().any(is_near) || is_broken(Rule::LedgerStaysInItsRegions)
+    is_empty || group.members.iter().any(is_near) || is_broken(Rule::LedgerGroupsStayInTheirRegions)
 }
 
 /// Machine that may become a member of an initial group.
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -150,7 +150,7 @@
 
     /// Suspends or resumes voting. A leaving member must acknowledge nothing after it starts to hand over its records.
     pub fn set_leaving(&mut self, is_leaving: bool) {
-        self.is_leaving = is_leaving && !is_broken(Rule::LedgerLeavesInSilence);
+        self.is_leaving = is_leaving && !is_broken(Rule::LedgerStopsVotingBeforeLeaving);
     }
 
     /// Whether this disk never held a complete replica: the machine is new or lost its disk.
--- a/crates/ledger/tests/mutants.rs
+++ b/crates/ledger/tests/mutants.rs
@@ -20,8 +20,10 @@
 fn detects_violation(rule: Rule, seed: u64) -> bool {
     match rule {
         Rule::LedgerZonesHoldFewMembers => return zone_simulation::simulate(seed).is_err(),
-        Rule::LedgerStaysInItsRegions => return joins_group_in_another_region(),
-        Rule::LedgerLostHasWitnesses => return partial_partition::replaces_member_reachable_by_others(),
+        Rule::LedgerGroupsStayInTheirRegions => return joins_group_in_another_region(),
+        Rule::LedgerMemberLossNeedsWitnesses => {
+            return partial_partition::replaces_member_reachable_by_others();
+        }
         _ => {}
     }
     let run = std::panic::catch_unwind(|| {
--- a/crates/mutants/src/lib.rs
+++ b/crates/mutants/src/lib.rs
@@ -11,7 +11,7 @@
     /// A restarted process is a new replica without a vote.
     NewIdentityAfterRestart,
     /// A replica votes only for candidates whose log is at least as up to date as its own.
-    VoteForLongLogsOnly,
+    VoteOnlyForUpToDateLogs,
     /// A turn waits for the preceding turn.
     TurnsInOrder,
     /// A full message list must start with the recorded history.
@@ -27,18 +27,18 @@
     /// Engines free the memory of ended programs.
     FreeEndedPrograms,
     /// A leaving engine gets no new calls.
-    LeavingEngineRefuses,
+    NoCallsToLeavingEngines,
     /// The generation of the configuration never decreases.
-    GenerationsOnlyRise,
+    GenerationsAreMonotonic,
     /// A call that was sent to a back end is never reported as not run.
-    SentIsNeverNotRun,
+    SentCallsAreNotReportedAsNotRun,
     /// A stopping node finishes its calls before it exits.
     StopFinishesCalls,
     /// A repeated turn gets the answer to that turn, not to another.
     AnswerToOwnCall,
     /// A ledger replica without its records doesn't vote.
     LedgerVoteNeedsRecords,
-    /// A recovering ledger replica reads from enough others that no acknowledged record can be missing.
+    /// A recovering ledger replica reads from enough other replicas that no acknowledged record can be missing.
     LedgerReadsEnough,
     /// A ledger replica serves pages only if its records are complete.
     LedgerPagesAreComplete,
@@ -53,31 +53,31 @@
     /// A ledger replica reports that it never voted only if that is certain.
     LedgerNeverVotedIsTrue,
     /// A ledger replica stops voting before it hands over its records and leaves.
-    LedgerLeavesInSilence,
+    LedgerStopsVotingBeforeLeaving,
     /// No zone holds more members of a group than the group tolerates losing.
     LedgerZonesHoldFewMembers,
     /// A group never extends to a region in which it has no member.
-    LedgerStaysInItsRegions,
-    /// A member that others of the group hear from doesn't count as lost.
-    LedgerLostHasWitnesses,
+    LedgerGroupsStayInTheirRegions,
+    /// A member that still answers other members of its group doesn't count as lost.
+    LedgerMemberLossNeedsWitnesses,
     /// API keys are rejected while the node's key data is too old.
     AccessAgeIsBounded,
     /// The calls that a node admitted and a majority of the counting nodes has not acknowledged are bounded.
     QuotaUnacknowledgedIsBounded,
-    /// A node decides on quotas only while it hears from a majority of the counting nodes.
+    /// A node decides on quotas only while it receives reports from a majority of the counting nodes.
     QuotaNeedsMajority,
     /// Calls admitted by other nodes count against a quota.
     QuotaTotalsCount,
     /// An older report on an evacuation doesn't override a newer one.
     EvacuationRevisionsCount,
     /// An engine in an evacuated zone is never chosen.
-    EvacuatedZonesGetNothing,
+    EvacuatedZonesGetNoCalls,
     /// Engines count as cold after an evacuation.
-    EvacuatedEnginesComeBackCold,
+    EvacuatedEnginesBecomeCold,
     /// A cold engine gets a call only with a permit that has not expired.
     ColdEnginesNeedPermits,
     /// Calls are served only in their allowed regions.
-    WorkStaysInItsRegions,
+    CallsStayInAllowedRegions,
 }
 
 impl Rule {
@@ -91,10 +91,10 @@
         Rule::LedgerOpenTurnsCount,
         Rule::LedgerCommitsBeforeReply,
         Rule::LedgerNeverVotedIsTrue,
-        Rule::LedgerLeavesInSilence,
+        Rule::LedgerStopsVotingBeforeLeaving,
         Rule::LedgerZonesHoldFewMembers,
-        Rule::LedgerStaysInItsRegions,
-        Rule::LedgerLostHasWitnesses,
+        Rule::LedgerGroupsStayInTheirRegions,
+        Rule::LedgerMemberLossNeedsWitnesses,
     ];
 
     /// Rules of API keys and quotas.
@@ -108,17 +108,17 @@
     /// Rules of engine selection.
     pub const ROUTING: [Rule; 5] = [
         Rule::EvacuationRevisionsCount,
-        Rule::EvacuatedZonesGetNothing,
-        Rule::EvacuatedEnginesComeBackCold,
+        Rule::EvacuatedZonesGetNoCalls,
+        Rule::EvacuatedEnginesBecomeCold,
         Rule::ColdEnginesNeedPermits,
-        Rule::WorkStaysInItsRegions,
+        Rule::CallsStayInAllowedRegions,
     ];
 
     /// Rules of the node, checked by the simulation of the fleet.
     pub const ALL: [Rule; 15] = [
         Rule::MajorityBeforeAcknowledgement,
         Rule::NewIdentityAfterRestart,
-        Rule::VoteForLongLogsOnly,
+        Rule::VoteOnlyForUpToDateLogs,
         Rule::TurnsInOrder,
         Rule::HistoryMustMatch,
         Rule::ReserveBudget,
@@ -126,9 +126,9 @@
         Rule::LedgerBeforeSending,
         Rule::UnknownIsNotRunAgain,
         Rule::FreeEndedPrograms,
-        Rule::LeavingEngineRefuses,
-        Rule::GenerationsOnlyRise,
-        Rule::SentIsNeverNotRun,
+        Rule::NoCallsToLeavingEngines,
+        Rule::GenerationsAreMonotonic,
+        Rule::SentCallsAreNotReportedAsNotRun,
         Rule::StopFinishesCalls,
         Rule::AnswerToOwnCall,
     ];
--- a/crates/node/src/chat_runner/attempts.rs
+++ b/crates/node/src/chat_runner/attempts.rs
@@ -1,4 +1,4 @@
-//! Runs a turn on engines: places it, sends it, reads the stream and retries on failure.
+//! Runs a turn on engines: selects an engine, sends the turn, reads the stream and retries on failure.
 
 use std::sync::PoisonError;
 use std::time::Duration;
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -20,7 +20,7 @@
 /// First backoff after a failed request to the platform; doubles with each failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
-/// Nodes per zone that watch the platform. The others fetch the configuration from peers.
+/// Nodes per zone that watch the platform. Other nodes fetch the configuration from peers.
 const WATCHERS_PER_ZONE: usize = 2;
 /// How often a non-watcher checks whether it has become a watcher.
 const WATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/node/src/engine_owner.rs
+++ b/crates/node/src/engine_owner.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Attempts to tell an engine to free a program's memory.
+/// Maximum requests to an engine to free a program's memory.
 const MAX_FREE_ATTEMPTS: u32 = 5;
 /// Delay before the second attempt; doubles with each attempt.
 const INITIAL_FREE_BACKOFF: Duration = Duration::from_millis(200);
--- a/crates/node/src/engine_router.rs
+++ b/crates/node/src/engine_router.rs
@@ -18,7 +18,7 @@
 use crate::engine_owner::EngineOwner;
 use crate::fleet::Fleet;
 
-/// Random engines asked for a bid, besides the preferred ones.
+/// Random engines asked for a bid in addition to the preferred ones.
 const RANDOM_CANDIDATES: usize = 2;
 const BID_TIMEOUT: Duration = Duration::from_millis(500);
 /// Retry-after hint for callers while no engine is available.
@@ -31,7 +31,7 @@
 pub(crate) struct Grant {
     pub(crate) engine: EngineName,
     pub(crate) address: SocketAddr,
-    /// The node that granted the slot and must be told when the call ends.
+    /// The node that granted the slot and must be notified when the call ends.
     pub(crate) owner: NodeId,
     pub(crate) reason: String,
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -68,7 +68,7 @@
     match read_settings(arguments) {
         Err(found) => errors.push(found),
         Ok(settings) => {
-            if let Some(file) = settings.platform.bundle_file {
+            if let Some(file) = settings.configuration_sources.bundle_file {
                 errors.extend(check_bundle(&file));
             }
         }
--- a/crates/node/src/memory_check.rs
+++ b/crates/node/src/memory_check.rs
@@ -1,8 +1,9 @@
 //! Periodically frees engine memory of programs that have ended.
 //!
-//! When a program ends, its leader tells the engines that it knows of. If a node dies while an engine runs a
-//! call for it, the leader may not know of that engine. Owners therefore ask their engines which programs
-//! they hold memory for, and ask the leaders which of these have ended.
+//! When a program ends, its shard's leader has the memory freed on the engines that it knows have run the
+//! program's calls. If a node crashes during a call, the leader may not know of the call's engine. Each node
+//! therefore also asks the engines that it owns which programs they hold memory for, and asks the shard leaders
+//! which of these programs have ended.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -86,13 +86,13 @@
     /// Starts listeners and background tasks. The node is ready for calls once
     /// [`Node::is_ready`] returns true.
     pub async fn start(settings: Settings, options: StartOptions) -> Result<Node, StartError> {
-        let callers = listen(settings.listen.callers)?;
+        let caller_listener = listen(settings.listen.callers)?;
         let admin_listener = listen(settings.listen.admin)?;
         let peer_address = settings.listen.peers;
         let acceptor = options.network.listen(peer_address).await;
         let acceptor = acceptor.map_err(|error| StartError::Listen { address: peer_address, error })?;
         let addresses = NodeAddresses {
-            callers: local_address(&callers, settings.listen.callers),
+            callers: local_address(&caller_listener, settings.listen.callers),
             peers: acceptor.local_address(),
             admin: local_address(&admin_listener, settings.listen.admin),
         };
@@ -110,7 +110,7 @@
             admin::router(AdminState { components: Arc::clone(&components) }),
             stopped,
         ));
-        let node = Self::spawn_tasks(components, newer, callers, addresses);
+        let node = Self::spawn_tasks(components, newer, caller_listener, addresses);
         info!(node.components.context.logger, "node started"; "callers" => %addresses.callers,
             "peers" => %addresses.peers, "admin" => %addresses.admin);
         Ok(node)
@@ -169,7 +169,7 @@
     fn spawn_tasks(
         components: Arc<Components>,
         newer: NewerGenerations,
-        callers: TcpListener,
+        caller_listener: TcpListener,
         addresses: NodeAddresses,
     ) -> Node {
         let limits = &components.context.settings.limits;
@@ -183,8 +183,12 @@
         let router =
             sumacdrift_gateway::router(components.dispatcher(), TenantLimits::default(), gateway_settings);
         let stop_gateway = CancellationToken::new();
-        let gateway =
-            tokio::spawn(sumacdrift_gateway::serve(callers, router, listener_settings, stop_gateway.clone()));
+        let gateway = tokio::spawn(sumacdrift_gateway::serve(
+            caller_listener,
+            router,
+            listener_settings,
+            stop_gateway.clone(),
+        ));
         tokio::spawn(
             MemoryCheck {
                 components: Arc::clone(&components),
@@ -192,7 +196,7 @@
             }
             .run(),
         );
-        if let Some(address) = components.context.settings.platform.object_api {
+        if let Some(address) = components.context.settings.configuration_sources.object_api {
             let object_client = ObjectClient::new(components.context.http.clone(), address);
             tokio::spawn(Arc::clone(&components.configuration).watch_platform(object_client));
         }
@@ -237,7 +241,7 @@
 }
 
 fn read_bundle_file(settings: &Settings) -> Result<Option<(String, String)>, StartError> {
-    let Some(file) = settings.platform.bundle_file.clone() else { return Ok(None) };
+    let Some(file) = settings.configuration_sources.bundle_file.clone() else { return Ok(None) };
     match std::fs::read_to_string(&file) {
         Ok(text) => {
             sumacdrift_config::Bundle::parse(&file, &text)?;
--- a/crates/node/src/service_runner.rs
+++ b/crates/node/src/service_runner.rs
@@ -24,11 +24,11 @@
 
 /// Maximum size of a recorded answer.
 const MAX_RECORDED_BYTES: usize = 1 << 20;
-/// Body pieces that are buffered for a slow caller.
-const PIECE_QUEUE_CAPACITY: usize = 16;
+/// Body chunks that are buffered for a slow caller.
+const CHUNK_QUEUE_CAPACITY: usize = 16;
 /// How long a ledger command is retried.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Margin beyond a call's run time before the ledger records its outcome as lost.
+/// Margin beyond a call's run time before the ledger records its outcome as unknown.
 const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
 /// Upper bound only; each attempt has the service's own deadline.
 const MAX_CALL_DURATION: Duration = Duration::from_secs(3600);
@@ -133,18 +133,18 @@
         response: http::Response<hyper::body::Incoming>,
     ) -> ServiceAnswer {
         let (head, mut body) = response.into_parts();
-        let (pieces, receiver) = mpsc::channel(PIECE_QUEUE_CAPACITY);
+        let (chunks, receiver) = mpsc::channel(CHUNK_QUEUE_CAPACITY);
         let (running_calls, id) = (Arc::clone(&self.running_calls), call.call);
         running_calls.register(id);
         tokio::spawn(async move {
             loop {
-                let piece = match next_chunk(&mut body).await {
-                    Ok(Some(piece)) => Ok(piece),
+                let chunk = match next_chunk(&mut body).await {
+                    Ok(Some(chunk)) => Ok(chunk),
                     Ok(None) => break,
                     Err(error) => Err(std::io::Error::other(error)),
                 };
-                let is_end = piece.is_err();
-                if pieces.send(piece).await.is_err() || is_end {
+                let is_end = chunk.is_err();
+                if chunks.send(chunk).await.is_err() || is_end {
                     break;
                 }
             }
--- a/crates/node/src/shard_client.rs
+++ b/crates/node/src/shard_client.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The shard's leader, if this node has heard of one. May be out of date.
+    /// The shard's last known leader, which may be out of date; `None` if this node has never learned of one.
     pub(crate) fn known_leader(&self, shard: ShardId) -> Option<NodeId> {
         lock(&self.leaders).get(&shard).map(|known| known.node)
     }
--- a/crates/proto/src/membership.rs
+++ b/crates/proto/src/membership.rs
@@ -96,7 +96,7 @@
     #[prost(uint64, tag = "2")]
     pub generation: u64,
     #[prost(message, repeated, tag = "3")]
-    pub news: Vec<MemberMessage>,
+    pub updates: Vec<MemberMessage>,
     #[prost(oneof = "PacketKind", tags = "4, 5, 6, 7, 8, 9, 10")]
     pub packet: Option<PacketKind>,
 }
@@ -142,7 +142,7 @@
         EnvelopeMessage {
             sender: Some(self.sender.to_wire()),
             generation: self.generation.0,
-            news: encode_list(&self.updates),
+            updates: encode_list(&self.updates),
             packet: Some(encode_packet(&self.packet)),
         }
     }
@@ -151,7 +151,7 @@
         Ok(Envelope {
             sender: decode_required(message.sender, "sender")?,
             generation: Generation(message.generation),
-            updates: decode_list(message.news)?,
+            updates: decode_list(message.updates)?,
             packet: decode_packet(require_field(message.packet, "packet")?)?,
         })
     }
--- a/crates/proto/tests/program_state.rs
+++ b/crates/proto/tests/program_state.rs
@@ -184,7 +184,7 @@
     let record = replica.state.program(&program()).expect("program should exist");
     assert!(record.in_flight.is_none());
     assert_eq!(record.budget.spent.output_tokens, 60);
-    // The paused node resumes and reports its answer: it must not be told that the turn was committed.
+    // The paused node resumes and reports its answer: the response must not claim that the turn was committed.
     let replies = replica.execute(finish_turn(1, "first"));
     assert_eq!(refusal_code(&replies), ResultCode::NotCommitted);
 }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -59,8 +59,8 @@
             return;
         }
         let own_log_end = (self.log.last_term(), self.log.last_index());
-        let is_log_up_to_date =
-            (request.last_term, request.last_index) >= own_log_end || is_broken(Rule::VoteForLongLogsOnly);
+        let is_log_up_to_date = (request.last_term, request.last_index) >= own_log_end
+            || is_broken(Rule::VoteOnlyForUpToDateLogs);
         let may_replace_leader = request.is_transfer || !self.has_recent_leader(now);
         let has_voted_for_other = !request.is_pre_vote && !self.vote.can_grant(request.term, from);
         let is_granted =
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -37,7 +37,7 @@
 
     /// Assumes that the engine is cold for `warmup` from now on.
     pub(crate) fn infer(&mut self, warmup: Duration, now: Timestamp) {
-        if !is_broken(Rule::EvacuatedEnginesComeBackCold) {
+        if !is_broken(Rule::EvacuatedEnginesBecomeCold) {
             self.inferred_until = self.inferred_until.max(Some(now + warmup));
         }
     }
--- a/crates/routing/src/registry/eligibility.rs
+++ b/crates/routing/src/registry/eligibility.rs
@@ -98,7 +98,7 @@
     pub(super) fn is_allowed(&self, engine: &Engine, request: &PlacementRequest<'_>) -> bool {
         let zone = &engine.spec.zone;
         let region = self.distances.location().topology.region_of(zone);
-        let is_in_region = request.regions.allow(region) || is_broken(Rule::WorkStaysInItsRegions);
+        let is_in_region = request.regions.allow(region) || is_broken(Rule::CallsStayInAllowedRegions);
         is_in_region && !self.is_evacuated(zone)
     }
 
@@ -129,6 +129,6 @@
     }
 
     pub(super) fn is_evacuated(&self, zone: &str) -> bool {
-        self.evacuations.is_evacuated(zone) && !is_broken(Rule::EvacuatedZonesGetNothing)
+        self.evacuations.is_evacuated(zone) && !is_broken(Rule::EvacuatedZonesGetNoCalls)
     }
 }
--- a/crates/routing/tests/mutants.rs
+++ b/crates/routing/tests/mutants.rs
@@ -63,11 +63,11 @@
     assert!(!treats_returning_engine_as_warm() && !sends_to_cold_engine_without_permit());
     for rule in Rule::ROUTING {
         let is_detected = with_broken(rule, || match rule {
-            Rule::EvacuatedZonesGetNothing => chooses_evacuated_engine(),
+            Rule::EvacuatedZonesGetNoCalls => chooses_evacuated_engine(),
             Rule::EvacuationRevisionsCount => applies_stale_listing(),
-            Rule::EvacuatedEnginesComeBackCold => treats_returning_engine_as_warm(),
+            Rule::EvacuatedEnginesBecomeCold => treats_returning_engine_as_warm(),
             Rule::ColdEnginesNeedPermits => sends_to_cold_engine_without_permit(),
-            Rule::WorkStaysInItsRegions => serves_call_outside_its_regions(),
+            Rule::CallsStayInAllowedRegions => serves_call_outside_its_regions(),
             other => panic!("{other:?} has no check"),
         });
         assert!(is_detected, "{rule:?} was broken without being detected");
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -136,7 +136,7 @@
 
     /// Whether new calls are accepted: the engine isn't draining and its circuit breaker admits calls.
     pub fn is_usable(&self, now: Timestamp) -> bool {
-        (!self.is_draining || is_broken(Rule::LeavingEngineRefuses))
+        (!self.is_draining || is_broken(Rule::NoCallsToLeavingEngines))
             && self.circuit_breaker.allowed(self.settings.max_running, now) > 0
     }
 
@@ -235,7 +235,7 @@
 
     fn has_free_slot(&self, now: Timestamp) -> bool {
         let allowed = self.circuit_breaker.allowed(self.settings.max_running, now);
-        (!self.is_draining || is_broken(Rule::LeavingEngineRefuses)) && self.running.len() < allowed
+        (!self.is_draining || is_broken(Rule::NoCallsToLeavingEngines)) && self.running.len() < allowed
     }
 
     /// The first call in order, if its context fits beside the running ones. An idle engine gets it whatever its size.
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -295,7 +295,7 @@
         let leaving = self.nodes[node].configuration.current().map(|current| current.leaving.clone());
         let leaving = leaving.unwrap_or_default();
         let usable: Vec<usize> = (0..ENGINES)
-            .filter(|engine| !leaving.contains(engine) || is_broken(Rule::LeavingEngineRefuses))
+            .filter(|engine| !leaving.contains(engine) || is_broken(Rule::NoCallsToLeavingEngines))
             .collect();
         let engine = usable[self.random.random_range(0..usable.len())];
         let owner = self.nodes[node].engine_owner(engine, self.now);
@@ -484,7 +484,7 @@
         self.schedule(delay, Event::ServiceRuns { node, incarnation, call, is_hung });
     }
 
-    /// Runs a request that reached the service, also if its node is down or paused by now.
+    /// Runs a request that reached the service, even if the node that sent it has since crashed or been paused.
     pub(crate) fn handle_service_request(
         &mut self,
         node: usize,
--- a/crates/simulation/src/task.rs
+++ b/crates/simulation/src/task.rs
@@ -13,7 +13,7 @@
     pub(crate) caller: usize,
     pub(crate) request: CallerRequest,
     pub(crate) stage: Stage,
-    /// The exchange whose answer is awaited; answers to others are ignored.
+    /// The exchange whose answer is awaited; answers to other exchanges are ignored.
     pub(crate) exchange: u64,
     /// The command in flight, kept for retries.
     pub(crate) command: Option<Command>,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -420,7 +420,7 @@
     fn poll_platform(&mut self, node: usize) {
         if !self.platform.is_down {
             let configuration = self.platform.configuration.clone();
-            // Two nodes watch the platform; the others get its changes by heartbeats.
+            // Two nodes watch the platform; the other nodes get its changes by heartbeats.
             if node < 2 {
                 self.apply_configuration(node, configuration);
             }
@@ -438,7 +438,7 @@
             self.apply_queue_effects(node, effects);
         }
         // A new configuration is sent at once, not only with the next heartbeat.
-        if !is_broken(Rule::GenerationsOnlyRise) {
+        if !is_broken(Rule::GenerationsAreMonotonic) {
             self.send_heartbeats(node);
         }
     }
--- a/crates/simulation/src/world/checks.rs
+++ b/crates/simulation/src/world/checks.rs
@@ -34,8 +34,8 @@
             }
             for output in shard.take_outputs() {
                 match output {
-                    ShardOutput::Reply { reply: Reply::Ended(gone), .. } => {
-                        for program in gone {
+                    ShardOutput::Reply { reply: Reply::Ended(ended), .. } => {
+                        for program in ended {
                             self.engine_memory[engine].remove(&program);
                         }
                     }
