--- a/crates/access/src/tenant_counter.rs
+++ b/crates/access/src/tenant_counter.rs
@@ -101,8 +101,9 @@
         }
     }
 
-    /// Time until a call that is over the limit may be retried; `None` if it is within the limit. A new
-    /// program is also delayed while it would not fit as a whole.
+    /// Delay after which a refused call may be retried; `None` if the call may be admitted. Under congestion, the
+    /// first call of a program is also refused while programs start faster than the limit allows for their mean
+    /// number of calls.
     pub(crate) fn check_limit(
         &mut self,
         program: Option<u64>,
--- a/crates/access/tests/quota_counters.rs
+++ b/crates/access/tests/quota_counters.rs
@@ -15,7 +15,7 @@
     Timestamp(millis * 1_000)
 }
 
-/// Delivers and acknowledges a report of each node at all others.
+/// Delivers each node's report to all other nodes, which acknowledge it.
 fn exchange_reports(nodes: &mut [&mut QuotaCounters], now: Timestamp) {
     let reports: Vec<_> = nodes.iter_mut().map(|node| node.report(WINDOW, now)).collect();
     for (index, node) in nodes.iter_mut().enumerate() {
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -95,7 +95,7 @@
     /// Incarnation of the feed.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// Position up to which the follower has all changes after this response.
+    /// Position that the follower reaches by applying this response.
     #[prost(uint64, tag = "2")]
     pub at: u64,
     /// Whether the response is full: items that are not in it were removed.
--- a/crates/emulator/src/tool_service.rs
+++ b/crates/emulator/src/tool_service.rs
@@ -31,7 +31,7 @@
 /// Faults to inject, each for a number of requests and in the order of the fields.
 #[derive(Debug, Clone, Default)]
 pub struct ToolFaults {
-    /// Requests to execute with the connection broken before the answer.
+    /// Requests to execute and then break the connection before the first byte of the response body.
     pub lose_answer: usize,
     /// Requests to leave unanswered and not execute.
     pub hang: usize,
--- a/crates/ledger/src/chain.rs
+++ b/crates/ledger/src/chain.rs
@@ -9,7 +9,8 @@
 pub enum ChainStep {
     /// All turns of the chain are known.
     Whole,
-    /// Name of the oldest turn known by name only. Another replica must be asked for it and its predecessors.
+    /// Name of the newest turn whose content is missing. A replica that stores it must be asked for it and its
+    /// predecessors.
     Missing(String),
 }
 
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -104,7 +104,7 @@
 /// Members whose records a replica without a vote has read completely.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Reading {
-    /// Epoch at which they were read; the entry is void at any other epoch.
+    /// Epoch at which they were read; at any other epoch the record is ignored.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// Node names of these members.
@@ -319,7 +319,7 @@
     /// The request's epoch differs from that of this group, the newest known to the replica.
     #[prost(message, tag = "5")]
     WrongEpoch(GroupMessage),
-    /// The replica has no vote.
+    /// The replica doesn't vote in the request's group, so its answer wouldn't count; ask another member.
     #[prost(bool, tag = "6")]
     NotVoting(bool),
     #[prost(message, tag = "7")]
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -38,11 +38,11 @@
 }
 
 impl ReplacementPolicy {
-    /// For a machine that was complete before, as a spare or a member: waits longer than most outages.
+    /// For a spare machine, which was complete before and is not a member: waits longer than most outages.
     pub const FOR_EXISTING_MACHINE: Self = Self { lost_after: LOST_AFTER, accepts_offered_membership: false };
 
-    /// For a machine that started empty and has to catch up within this time. Such a machine usually replaces one
-    /// that left, and until it votes the group tolerates one disk loss less.
+    /// For a machine that started empty and has to catch up within this time, and for current members. A new machine
+    /// usually replaces one that left, and until it votes the group tolerates one disk loss less.
     pub fn for_new_machine(catch_up_time: Duration) -> Self {
         let lost_after = catch_up_time.mul_f64(LOST_AFTER_FRACTION);
         let lost_after = lost_after.clamp(MIN_LOST_AFTER, MAX_LOST_AFTER);
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -53,7 +53,7 @@
     },
     /// A member is shutting down.
     Leaving(Member),
-    /// Other nodes declared this node dead; it refuted this.
+    /// Other nodes declared this node dead, and it refuted the declaration.
     DeathRefuted,
     /// A later incarnation of this node exists: this process was replaced and must stop.
     Replaced,
@@ -70,10 +70,10 @@
 struct PendingProbe {
     target: NodeId,
     sequence: u64,
-    /// When indirect probes are sent.
+    /// When other nodes are asked to probe the target if it has not answered.
     indirect_at: Timestamp,
     is_indirect_sent: bool,
-    /// When the target is suspected.
+    /// When the target is declared suspect if it has not answered.
     suspect_at: Timestamp,
 }
 
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -256,7 +256,8 @@
 }
 
 impl CachedTokens {
-    /// Sums the cached tokens of each engine up to the first part that it does not hold completely.
+    /// Sums the cached tokens of each engine, up to and including the first part that the engine holds only
+    /// partly.
     pub(crate) fn from_parts(parts: &[RequiredPart], known: &[CachedPart]) -> Self {
         let mut keys: Vec<u32> = known.iter().map(|cached| cached.engine).collect();
         keys.sort_unstable();
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -174,7 +174,7 @@
         was_usable
     }
 
-    /// Stops new work, even as a last resort; returns whether the engine was usable.
+    /// Like [`Self::retire`], but from now on, and the engine isn't used as a last resort either.
     pub(crate) fn withdraw(&mut self, now: Timestamp) -> bool {
         self.is_withdrawn = true;
         self.retire(now)
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -26,7 +26,8 @@
 const SUSPECT_RATE: f64 = MIN_FAILURE_RATE / 2.0;
 /// Minimum divisor of a failure rate, so that a single call has little weight.
 const MIN_RATE_DIVISOR: u32 = 5;
-/// At most one engine in `ENGINES_PER_EJECTION` of a service is ejected, but one is allowed from `MIN_ENGINES` on.
+/// At most one in `ENGINES_PER_EJECTION` engines of a service is ejected, but always one if it has at least
+/// `MIN_ENGINES`.
 const ENGINES_PER_EJECTION: usize = 5;
 const MIN_ENGINES: usize = 3;
 
--- a/crates/storage/src/group_maintenance.rs
+++ b/crates/storage/src/group_maintenance.rs
@@ -50,8 +50,8 @@
     pub policy: GroupPolicy,
     /// Region of each zone.
     pub topology: Arc<Topology>,
-    /// Time within which a machine that starts empty must vote in place of a lost one. Until then the
-    /// deployment counts the loss, and another one may follow after it.
+    /// Time within which a machine that starts empty must vote in place of a lost one. Until then the loss
+    /// counts against those that the deployment tolerates; afterwards another may happen.
     pub catch_up_time: Duration,
 }
 
@@ -284,8 +284,7 @@
         self.replace_map(stored.map.with_group(group), Some(stored.revision), reason.name()).await;
     }
 
-    /// How long members may be silent until this machine replaces one, or as a member removes one that
-    /// stopped.
+    /// Conditions under which this machine replaces a lost member or, if it is itself a member, removes one.
     fn replacement_policy(&self) -> ReplacementPolicy {
         let replica = self.host.replica();
         match replica.is_new() || replica.is_member() {
--- a/crates/storage/src/report_board.rs
+++ b/crates/storage/src/report_board.rs
@@ -22,8 +22,8 @@
     fn apply(&self, view: Bytes);
 }
 
-/// Passes the view of a reply to the sink, and returns the reply proper. Must run before the reply decides
-/// anything.
+/// Passes the view in a reply to the sink and returns the reply's result. Must be called before the result is
+/// evaluated.
 pub(crate) fn forward_view(views: Option<&Arc<dyn ViewSink>>, answer: LedgerReply) -> Option<ReplyKind> {
     if let Some(views) = views.filter(|_| !answer.view.is_empty()) {
         views.apply(answer.view);
--- a/crates/types/src/mechanism.rs
+++ b/crates/types/src/mechanism.rs
@@ -28,7 +28,7 @@
     PeerFailures,
     /// Engines whose failure rate over all edges far exceeds that of their service are ejected for a time.
     OutlierEjection,
-    /// The idle time of reused connections is limited after an idle one was reset.
+    /// The time that a connection may be idle before reuse is limited, as learned from connection resets.
     IdleLimit,
     /// Calls that arrive during startup wait for the first configuration.
     StartWait,
