--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -182,8 +182,8 @@
         let Some(addresses) = node.node().map(Node::addresses) else { return Ok(()) };
         if number == self.nodes.len() {
             self.nodes.push(Some(node));
-            self.addresses.push(addresses.callers);
-            self.peers.push(addresses.peers);
+            self.addresses.push(addresses.caller_listener);
+            self.peers.push(addresses.peer_listener);
         } else {
             self.nodes[number] = Some(node);
         }
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -103,7 +103,7 @@
 async fn third_party_client_gets_an_answer_after_internal_retries() {
     let mut fleet = start_fleet(1, 2).await;
     for engine in &fleet.engines {
-        engine.set_faults(|faults| faults.refuse.push_back(503));
+        engine.set_faults(|faults| faults.rejection_statuses.push_back(503));
     }
     let content = "retried [[tokens=8]]";
     let answer =
@@ -191,7 +191,7 @@
 async fn engine_errors_and_garbage_are_not_reported_as_not_run() {
     let mut fleet = start_fleet(1, 1).await;
     let (caller, node) = (Caller::default(), fleet.addresses[0]);
-    fleet.engines[0].set_faults(|faults| faults.refuse.push_back(400));
+    fleet.engines[0].set_faults(|faults| faults.rejection_statuses.push_back(400));
     let refusal =
         expect_refusal(caller.chat(node, &turn_request("refused", 0, vec![user_message("x")])).await);
     assert_eq!(refusal.code, ResultCode::BackEndRefused.number());
--- a/crates/emulator/src/engine_http.rs
+++ b/crates/emulator/src/engine_http.rs
@@ -49,7 +49,7 @@
     /// Number of requests to answer with malformed data.
     pub garbage: usize,
     /// One request each: rejects it with this status.
-    pub refuse: VecDeque<u16>,
+    pub rejection_statuses: VecDeque<u16>,
     /// Number of requests to leave without an answer.
     pub hang: usize,
 }
@@ -309,7 +309,7 @@
     }
     let fault = {
         let faults = &mut shared.lock().faults;
-        if let Some(status) = faults.refuse.pop_front() {
+        if let Some(status) = faults.rejection_statuses.pop_front() {
             Some(Fault::Refuse(status))
         } else if faults.garbage > 0 {
             faults.garbage -= 1;
--- a/crates/emulator/src/engine_model.rs
+++ b/crates/emulator/src/engine_model.rs
@@ -85,7 +85,7 @@
     held: HeldBlocks,
     waiting: BTreeMap<WaitingKey, Sequence>,
     running: Vec<Sequence>,
-    next_arrival: u64,
+    next_arrival_number: u64,
     /// End of the current step; `None` if the engine is idle.
     step_end: Option<Timestamp>,
     /// Prompt tokens that the current step prefills, by position in the batch.
@@ -103,7 +103,7 @@
             held,
             waiting: BTreeMap::new(),
             running: Vec::new(),
-            next_arrival: 0,
+            next_arrival_number: 0,
             step_end: None,
             step_prefill: Vec::new(),
             computed_tokens: 0,
@@ -142,8 +142,8 @@
 
     /// Enqueues a request, and starts a step if the engine is idle.
     pub fn submit(&mut self, submission: Submission, now: Timestamp) {
-        let key = (submission.priority, self.next_arrival);
-        self.next_arrival += 1;
+        let key = (submission.priority, self.next_arrival_number);
+        self.next_arrival_number += 1;
         let sequence = Sequence {
             submission,
             computed: 0,
@@ -250,8 +250,8 @@
         sequence.generated = 0;
         sequence.acquired.clear();
         sequence.unhashed = 0;
-        let key = (sequence.submission.priority, self.next_arrival);
-        self.next_arrival += 1;
+        let key = (sequence.submission.priority, self.next_arrival_number);
+        self.next_arrival_number += 1;
         self.waiting.insert(key, sequence);
     }
 
--- a/crates/node/src/components.rs
+++ b/crates/node/src/components.rs
@@ -56,7 +56,7 @@
         let own_replica = ReplicaId { node: settings.id, incarnation: Incarnation(clock.now().0) };
         let logger = options.logger.new(o!("node" => settings.id.0));
         let counters = Arc::new(TrafficCounters::default());
-        let member = own_member(&settings, own_replica, addresses.peers);
+        let member = own_member(&settings, own_replica, addresses.peer_listener);
         let context = Arc::new(Context {
             settings,
             own_replica,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -60,9 +60,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct NodeAddresses {
-    pub callers: SocketAddr,
-    pub peers: SocketAddr,
-    pub admin: SocketAddr,
+    pub caller_listener: SocketAddr,
+    pub peer_listener: SocketAddr,
+    pub admin_listener: SocketAddr,
 }
 
 /// Counts of the shards that a node leads.
@@ -92,9 +92,9 @@
         let acceptor = options.network.listen(peer_address).await;
         let acceptor = acceptor.map_err(|error| StartError::Listen { address: peer_address, error })?;
         let addresses = NodeAddresses {
-            callers: local_address(&caller_listener, settings.listen.callers),
-            peers: acceptor.local_address(),
-            admin: local_address(&admin_listener, settings.listen.admin),
+            caller_listener: local_address(&caller_listener, settings.listen.callers),
+            peer_listener: acceptor.local_address(),
+            admin_listener: local_address(&admin_listener, settings.listen.admin),
         };
         let bundle = read_bundle_file(&settings)?;
         let (components, newer) = Components::build(settings, options, addresses);
@@ -111,8 +111,8 @@
             stopped,
         ));
         let node = Self::spawn_tasks(components, newer, caller_listener, addresses);
-        info!(node.components.context.logger, "node started"; "callers" => %addresses.callers,
-            "peers" => %addresses.peers, "admin" => %addresses.admin);
+        info!(node.components.context.logger, "node started"; "callers" => %addresses.caller_listener,
+            "peers" => %addresses.peer_listener, "admin" => %addresses.admin_listener);
         Ok(node)
     }
 
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -198,7 +198,7 @@
         let peer_load = self.peer_loads.current(&engine.peer_load);
         let jitter = rendezvous_fraction(self.request.key, engine.key);
         let state = EngineState {
-            unread_tokens: self.cached.unread(engine.key),
+            unread_tokens: self.cached.uncached_tokens(engine.key),
             queued_tokens: engine.unread_tokens as f64 + peer_load.unread_tokens,
             running: engine.running as f64 + peer_load.running,
             slots: engine.spec.slots as f64,
@@ -275,7 +275,7 @@
         self.engines.iter().map(|(key, _)| *key)
     }
 
-    fn unread(&self, engine: u32) -> f64 {
+    fn uncached_tokens(&self, engine: u32) -> f64 {
         let found = self.engines.binary_search_by_key(&engine, |(key, _)| *key);
         let cached = found.map_or(0, |index| self.engines[index].1);
         self.prompt_tokens.saturating_sub(cached) as f64
--- a/crates/scheduling/tests/mixed_versions.rs
+++ b/crates/scheduling/tests/mixed_versions.rs
@@ -11,7 +11,7 @@
 
 const SEEDS: u64 = 10;
 /// Width of the noise, in standard errors of the mean.
-const STANDARD_ERRORS: f64 = 2.0;
+const TOLERANCE_IN_STANDARD_ERRORS: f64 = 2.0;
 
 fn burst_period() -> Range<Timestamp> {
     at_second(4.0)..at_second(10.0)
@@ -35,7 +35,7 @@
         let (mean, error) = mean_gain(rank, &scenario);
         println!("{name}, rank {rank}: gain in time {mean:+.3}, standard error {error:.3}");
         assert!(
-            mean >= -STANDARD_ERRORS * error,
+            mean >= -TOLERANCE_IN_STANDARD_ERRORS * error,
             "{name}, rank {rank}: gain in time {mean:+.3}, standard error {error:.3}"
         );
     }
--- a/crates/storage/src/host.rs
+++ b/crates/storage/src/host.rs
@@ -549,8 +549,8 @@
 
     /// The newer version of a group to return to a requester, if this replica is not a member of that group.
     fn newer_version(&self, group: GroupNumber, epoch: u64, reply: &LedgerReply) -> Option<GroupMessage> {
-        let is_useless = matches!(reply.kind, Some(ReplyKind::NotVoting(_)));
-        if !is_useless || self.replica().group().number == group {
+        let is_not_voting = matches!(reply.kind, Some(ReplyKind::NotVoting(_)));
+        if !is_not_voting || self.replica().group().number == group {
             return None;
         }
         let map = self.map();
--- a/crates/storage/tests/configuration_age.rs
+++ b/crates/storage/tests/configuration_age.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fleet::Fleet;
-use fleet::following::{PROPAGATION_TIME, advance, follow, list_store};
+use fleet::follower::{PROPAGATION_TIME, advance, follow, list_store};
 use sumacdrift_dissemination::ItemKind;
 use tokio::time::Instant;
 
--- a/crates/storage/tests/feed_peers.rs
+++ b/crates/storage/tests/feed_peers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fleet::Fleet;
-use fleet::following::{PROPAGATION_TIME, advance, configuration, follow, list_store};
+use fleet::follower::{PROPAGATION_TIME, advance, configuration, follow, list_store};
 use sumacdrift_dissemination::ItemKind;
 
 /// One second less than the required limit; configurations come every 200 ms meanwhile.
--- a/crates/storage/tests/fleet/mod.rs
+++ b/crates/storage/tests/fleet/mod.rs
@@ -3,7 +3,7 @@
 // Each test binary uses a part of this module.
 #![allow(dead_code)]
 
-pub mod following;
+pub mod follower;
 
 use std::collections::BTreeSet;
 use std::future::Future;
--- a/crates/storage/tests/follower.rs
+++ b/crates/storage/tests/follower.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fleet::following::{PROPAGATION_TIME, advance, configuration, follow, follow_partitioned, list_store};
+use fleet::follower::{PROPAGATION_TIME, advance, configuration, follow, follow_partitioned, list_store};
 use fleet::{Fleet, Partition};
 use sumacdrift_dissemination::ItemKind;
 
