--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,7 +1,7 @@
 //! Placement of calls on engines, and the order in which they are admitted.
 //!
 //! Each engine is owned by one node, which holds its [`EngineQueue`]. A node that places a call asks a few owners for a
-//! [`Bid`] and takes the cheapest with [`choose`]. For engines without owners, each node keeps a [`ServiceQueue`] and admits
+//! [`Bid`] and takes the cheapest with [`choose_bid`]. For engines without owners, each node keeps a [`ServiceQueue`] and admits
 //! its share of the capacity, computed from the demand that all nodes report.
 //!
 //! The crate consists of state machines and pure functions without clock or I/O, so that the node, the simulator and the
--- a/crates/scheduling/src/service_queue.rs
+++ b/crates/scheduling/src/service_queue.rs
@@ -210,7 +210,7 @@
         !self.waiting.is_empty() && self.bytes + call.bytes > self.settings.max_waiting_bytes
     }
 
-    /// Removes a call that no engine served. Unlike [`Self::ended`], this doesn't count as a completion.
+    /// Removes a call that no engine served. Unlike [`Self::record_completed`], this doesn't count as a completion.
     pub fn record_abandoned(&mut self, ticket: QueueTicket, now: Timestamp) -> Vec<ServiceQueueAction> {
         if self.take(ticket).is_none() {
             self.running.remove(&ticket);
